--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -300,7 +300,7 @@
       RequestProgress progress, ServingEngine engine, AttemptOutcome outcome, long nowNanos) {
     selector.load(engine).health().onFailure(outcome, nowNanos);
     if (outcome == AttemptOutcome.NOT_EXECUTED && progress.envelope().prompt().isEmpty()) {
-      room.onTurnedAway(engine, nowNanos);
+      room.onRejection(engine, nowNanos);
     }
     if (outcome.mayBeCrash()) {
       quarantine.onCrash(progress.content(), engine.id(), nowNanos);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -66,8 +66,8 @@
         || load.health().warnsOthers(nowNanos)
         || selector.changes(id)
         || leavesUnlisted(id, listed)
-        || !notices.limits().digest(id, nowNanos).saysNothing()
-        || !pace.lately(id, nowNanos).saysNothing();
+        || !notices.limits().digest(id, nowNanos).isNegligible()
+        || !pace.lately(id, nowNanos).isNegligible();
   }
 
   /** Whether an engine leaves without saying so in its entry: others may not know it yet. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
@@ -12,7 +12,7 @@
 import org.fallturn.core.limits.BudgetDigest;
 import org.fallturn.core.limits.LimitDigest;
 import org.fallturn.core.limits.SharedBudget;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 
 /**
  * What the other nodes last said they have at each engine. A node that has said nothing for a while
@@ -170,7 +170,7 @@
   }
 
   /** What the other nodes' work at an engine lately says of its pace. */
-  PaceWord pace(String engineId, long nowNanos) {
+  RecentPace pace(String engineId, long nowNanos) {
     Sum sum = sum(engineId, nowNanos);
     return sum.pace.aged(nowNanos - sumsAtNanos);
   }
@@ -347,7 +347,7 @@
     private int changing;
     private int leaving;
     private LimitDigest limit = LimitDigest.NONE;
-    private PaceWord pace = PaceWord.NONE;
+    private RecentPace pace = RecentPace.NONE;
     private boolean heard;
     private long heardNanos;
 
@@ -385,7 +385,7 @@
           heardAgo,
           leaving,
           limit,
-          pace.worthTelling());
+          pace.dropIfNegligible());
     }
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -9,7 +9,7 @@
 import org.fallturn.core.routing.EngineProfile;
 import org.fallturn.core.routing.Route;
 import org.fallturn.core.routing.ServingEngine;
-import org.fallturn.core.waiting.CacheRoom;
+import org.fallturn.core.waiting.KvCacheWait;
 import org.fallturn.core.waiting.WaitingParameters;
 
 /**
@@ -401,7 +401,7 @@
     if (question.profile().isEmpty() || !question.waiting().cacheRoom()) {
       return 0;
     }
-    return CacheRoom.waitMillis(
+    return KvCacheWait.waitMillis(
         running,
         selector.cacheTokens(engine, question.nowNanos()),
         engine.slots(),
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -148,7 +148,7 @@
     } else if (event instanceof DispatchEvent.UsageReported reported) {
       runs.onReported(reported.window());
     } else if (event instanceof DispatchEvent.BaselineKnown known) {
-      scaling.onStanding(known.service(), known.byZone());
+      scaling.onInitialCounts(known.service(), known.byZone());
     } else if (event instanceof DispatchEvent.ScaleOrderAnswered answered) {
       scaling.onAnswer(answered.order(), answered.outcome(), now);
     } else if (event instanceof DispatchEvent.PeerMessageReceived heard) {
