--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -12,7 +12,7 @@
 import org.fallturn.core.pace.PaceChange;
 import org.fallturn.core.pace.WorkKind;
 import org.fallturn.core.quarantine.Quarantine;
-import org.fallturn.core.quarantine.Standing;
+import org.fallturn.core.quarantine.QuarantineStatus;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineProfile;
 import org.fallturn.core.routing.RoutingImage;
@@ -285,7 +285,7 @@
     if (!outcome.mayHaveReached()) {
       progress.takeBackSend();
     }
-    if (!quarantine.standing(progress.content(), nowNanos).sendable()) {
+    if (!quarantine.status(progress.content(), nowNanos).sendable()) {
       return outcome == AttemptOutcome.ANSWERED_FAILURE
           ? refusals.after(progress, outcome, Optional.empty())
           : refusals.quarantined(progress);
@@ -406,11 +406,11 @@
    * sent on under every new id, it ends all that runs beside it, 20 engines in 14 s.
    */
   private Decision place(RequestProgress progress, boolean mayPrefill, long nowNanos) {
-    Standing standing = quarantine.standing(progress.content(), nowNanos);
-    if (!standing.sendable()) {
+    QuarantineStatus status = quarantine.status(progress.content(), nowNanos);
+    if (!status.sendable()) {
       return refusals.quarantined(progress);
     }
-    progress.isolate(standing == Standing.SUSPECTED);
+    progress.isolate(status == QuarantineStatus.SUSPECTED);
     Decision decision = placeByCost(progress, mayPrefill && !progress.isolated(), nowNanos);
     if (!(decision instanceof Decision.Refuse)) {
       quarantine.onSent(progress.content(), progress.envelope().requestId());
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -140,7 +140,7 @@
     } else if (event instanceof DispatchEvent.EngineGone gone) {
       keeper.onEngineGone(gone.engineId(), now);
     } else if (event instanceof DispatchEvent.QuarantineLoaded recalled) {
-      dispatcher.quarantine().onRecalled(recalled.held(), now);
+      dispatcher.quarantine().onLoadedFromStore(recalled.held(), now);
     } else if (event instanceof DispatchEvent.QuarantineStored stored) {
       dispatcher.quarantine().onStored(stored.content(), now);
     } else if (event instanceof DispatchEvent.ParametersChanged changed) {
@@ -364,7 +364,7 @@
   public void onBatchEnd() {
     long now = System.nanoTime();
     endWaits(now);
-    if (dispatcher.quarantine().takeNews()) {
+    if (dispatcher.quarantine().takeUrgentChange()) {
       peers.tellNow(now);
       keepQuarantine(now);
     } else if (dispatcher.fleet().hasNewPrompts()) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
@@ -72,7 +72,7 @@
   record EngineGone(String engineId) implements DispatchEvent {}
 
   /** The store holds a content in quarantine or under suspicion. */
-  record QuarantineLoaded(QuarantineStore.Held held) implements DispatchEvent {}
+  record QuarantineLoaded(QuarantineStore.StoredContent held) implements DispatchEvent {}
 
   /** The store has taken a content in quarantine. */
   record QuarantineStored(RequestFingerprint content) implements DispatchEvent {}
