--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -52,7 +52,7 @@
         load.streams(),
         load.backlog().toList(),
         load.health().warnsOthers(nowNanos) ? 1 : 0,
-        selector.changes(id) ? 1 : 0,
+        selector.isChangingStage(id) ? 1 : 0,
         heardAgoMillis(load, nowNanos),
         leavesUnlisted(id, listed) ? 1 : 0,
         notices.limits().digest(id, nowNanos),
@@ -64,7 +64,7 @@
     return !load.idle()
         || load.heardWithin(TOLD_SIGN_NANOS, nowNanos)
         || load.health().warnsOthers(nowNanos)
-        || selector.changes(id)
+        || selector.isChangingStage(id)
         || leavesUnlisted(id, listed)
         || !notices.limits().digest(id, nowNanos).isNegligible()
         || !pace.lately(id, nowNanos).isNegligible();
