--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
@@ -18,96 +18,107 @@
 import org.fallturn.core.waiting.WaitingRequests.Waiting;
 
 /**
- * Says which application requests wait at this node, since the engines of their service have no
- * room: more than they work off before an answer is late, or more than they were seen to take. An
- * engine is given some beyond its slots all the same, so that it does not stand idle until nodes
- * hear that it has room. One thread calls.
+ * The queue of application requests that wait at this node because the engines of their service
+ * have no room. Engines have no room when they hold more requests than they can finish before an
+ * answer is late, or more than they were seen to accept. Engines are nevertheless given some
+ * requests beyond their slots, so that they do not idle until the nodes learn that they have room.
+ * Only the dispatch thread calls.
  */
 final class ApplicationQueue {
 
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** Of the mean time that requests take, what a short one takes. */
-  private static final double SHORT_WORK_PART = 0.5;
+  /** Service time of a short request, as a fraction of the mean service time. */
+  private static final double SHORT_WORK_FRACTION = 0.5;
 
-  /** A forecast may be so many times too long, as few nodes have requests that wait. */
+  /**
+   * The forecast may be too long by this factor, since it assumes that all nodes have as many
+   * waiting requests as this one, and few have.
+   */
   private static final double FORECAST_MARGIN = 4;
 
   private final EngineSelector selector;
   private final WaitingRequests<RequestProgress> waiting = new WaitingRequests<>();
-  private final SaturationLimits marks = new SaturationLimits();
+  private final SaturationLimits saturationLimits = new SaturationLimits();
   private final Map<String, CapacityShare> shares = new HashMap<>();
-  private final Map<String, Double> aimsMillis = new HashMap<>();
+  private final Map<String, Double> targetsMillis = new HashMap<>();
   private int nodes = 1;
   private boolean closed;
-  private RequestProgress granted;
+  private RequestProgress released;
 
   /**
-   * What the engines of a service can take.
+   * Capacity of the engines of a service.
    *
-   * @param free requests more than they have
-   * @param most requests when they have none
+   * @param free number of requests that they can take in addition to those that they have
+   * @param most number of requests that they can take when they have none
    */
-  record Room(double free, double most) {}
+  record Capacity(double free, double most) {}
 
   ApplicationQueue(EngineSelector selector) {
     this.selector = selector;
   }
 
-  /** Takes the number of nodes that share the engines; empty while no other has been heard. */
+  /**
+   * Sets the number of nodes that share the engines.
+   *
+   * @param count empty while no other node has been heard from
+   */
   void setNodeCount(OptionalInt count) {
     nodes = Math.max(1, count.orElse(1));
   }
 
-  /** Forgets engines that are gone. */
+  /** Forgets engines that no longer exist. */
   void retain(Set<String> engineIds) {
-    marks.retain(engineIds);
+    saturationLimits.retain(engineIds);
   }
 
-  /** An engine turned a request away that it did not run. */
+  /** Records that an engine rejected a request without running it. */
   void onRejection(ServingEngine engine, long nowNanos) {
     int present = selector.running(engine, nowNanos);
-    marks.onRejection(engine.id(), present, engine.slots(), nowNanos);
+    saturationLimits.onRejection(engine.id(), present, engine.slots(), nowNanos);
   }
 
-  /** What waits. */
+  /** The waiting requests. */
   WaitingRequests<RequestProgress> waiting() {
     return waiting;
   }
 
-  /** From now on nothing waits here; what did is returned. */
+  /** Closes the queue: no request waits here from now on. Returns the requests that waited. */
   List<RequestProgress> close() {
     closed = true;
     return waiting.removeAll().stream().map(Waiting::request).toList();
   }
 
-  /** Whether a request has to wait. What may have run once is sent on without another wait. */
+  /**
+   * Whether the request has to wait. A request that an engine may have run is sent on without
+   * another wait.
+   */
   boolean mustWait(RequestProgress progress, List<ServingEngine> engines, long nowNanos) {
     String service = progress.service();
-    double aim = progress.envelope().route().targetLatency().toNanos() / NANOS_PER_MILLI;
-    aimsMillis.merge(service, aim, Math::min);
-    if (progress == granted) {
-      granted = null;
+    double targetMillis = progress.envelope().route().targetLatency().toNanos() / NANOS_PER_MILLI;
+    targetsMillis.merge(service, targetMillis, Math::min);
+    if (progress == released) {
+      released = null;
       return false;
     }
     if (closed || progress.isolated() || progress.possibleRuns() > 0) {
       return false;
     }
-    return waiting.size(service) > 0 || !take(progress, engines, nowNanos);
+    return waiting.size(service) > 0 || !tryTake(progress, engines, nowNanos);
   }
 
-  private boolean take(RequestProgress progress, List<ServingEngine> engines, long nowNanos) {
+  private boolean tryTake(RequestProgress progress, List<ServingEngine> engines, long nowNanos) {
     String service = progress.service();
-    Room room = room(service, engines, nowNanos);
-    long renewNanos = (long) (selector.renewMillis(nowNanos) * NANOS_PER_MILLI);
+    Capacity capacity = capacity(service, engines, nowNanos);
+    long refreshNanos = (long) (selector.refreshMillis(nowNanos) * NANOS_PER_MILLI);
     return shares
         .computeIfAbsent(service, name -> new CapacityShare())
         .take(
-            room.free(),
-            room.most(),
+            capacity.free(),
+            capacity.most(),
             nodes,
             waiting.size(service),
-            renewNanos,
+            refreshNanos,
             draw(progress, nowNanos),
             nowNanos);
   }
@@ -116,33 +127,42 @@
     return RendezvousHash.draw(progress.envelope().requestId(), Long.toString(nowNanos));
   }
 
-  /** What the engines can take now. */
-  Room room(String service, List<ServingEngine> engines, long nowNanos) {
-    double level = mostLevel(service, nowNanos);
+  /** Current capacity of the given engines. */
+  Capacity capacity(String service, List<ServingEngine> engines, long nowNanos) {
+    double maxPerSlot = maxRequestsPerSlot(service, nowNanos);
     double free = 0;
     double most = 0;
     for (ServingEngine engine : engines) {
       double slowness = selector.slowness(engine, WorkKind.APPLICATION, nowNanos);
-      double byTime = level * Math.max(1, engine.slots()) / slowness;
-      double bound = Math.min(byTime, marks.most(engine.id(), nowNanos));
+      double boundByTime = maxPerSlot * Math.max(1, engine.slots()) / slowness;
+      double bound = Math.min(boundByTime, saturationLimits.most(engine.id(), nowNanos));
       free += Math.max(0, bound - selector.running(engine, nowNanos));
       most += bound;
     }
-    return new Room(free, most);
+    return new Capacity(free, most);
   }
 
-  /** Requests for each slot beyond which an answer is late, or more where engines would idle. */
-  private double mostLevel(String service, long nowNanos) {
+  /**
+   * The most requests per slot: as many as can be answered before the target latency, or more where
+   * engines would otherwise idle until nodes learn that they have room.
+   */
+  private double maxRequestsPerSlot(String service, long nowNanos) {
     OptionalDouble work = selector.stays().workMillis(service);
     if (work.isEmpty()) {
       return Double.POSITIVE_INFINITY;
     }
     double millis = Math.max(1, work.getAsDouble());
-    double unheard = nodes > 1 ? selector.renewMillis(nowNanos) : 0;
-    return Math.max(1 + unheard / millis, aimsMillis.getOrDefault(service, 0.0) / millis);
+    double reportAgeMillis = nodes > 1 ? selector.refreshMillis(nowNanos) : 0;
+    return Math.max(
+        1 + reportAgeMillis / millis, targetsMillis.getOrDefault(service, 0.0) / millis);
   }
 
-  /** Lets a request wait; those that have to go for it are returned, maybe itself. */
+  /**
+   * Adds a request to the queue. Returns the requests that were removed to keep the queue within
+   * its memory, which may include the new one.
+   *
+   * @param maxBytes memory that the bodies of waiting requests may take
+   */
   List<RequestProgress> add(RequestProgress progress, long maxBytes, long nowNanos) {
     RequestEnvelope envelope = progress.envelope();
     Waiting<RequestProgress> entry =
@@ -158,22 +178,22 @@
     return waiting.add(entry, maxBytes).stream().map(Waiting::request).toList();
   }
 
-  /** Requests that end their wait now, since they have no time left to be served. */
-  List<RequestProgress> takeEnded(long nowNanos) {
-    List<RequestProgress> ended = new ArrayList<>();
+  /** Removes and returns the requests that have too little time left to be served. */
+  List<RequestProgress> takeExpired(long nowNanos) {
+    List<RequestProgress> expired = new ArrayList<>();
     for (String service : waiting.services()) {
       long work = workNanos(service);
       for (Waiting<RequestProgress> entry : waiting.inOrder(service, work, nowNanos)) {
-        if (outOfTime(entry.request(), nowNanos)) {
-          ended.add(entry.request());
+        if (hasTooLittleTime(entry.request(), nowNanos)) {
+          expired.add(entry.request());
         }
       }
     }
-    ended.forEach(waiting::remove);
-    return ended;
+    expired.forEach(waiting::remove);
+    return expired;
   }
 
-  /** The next request that has room now, which no longer waits. */
+  /** Removes and returns the next request of a service if an engine has room for it. */
   Optional<RequestProgress> takeNext(String service, long nowNanos) {
     List<Waiting<RequestProgress>> order = waiting.inOrder(service, workNanos(service), nowNanos);
     if (order.isEmpty()) {
@@ -181,35 +201,36 @@
     }
     RequestProgress first = order.get(0).request();
     List<ServingEngine> engines = selector.runCandidates(first, nowNanos);
-    if (!engines.isEmpty() && !take(first, engines, nowNanos)) {
+    if (!engines.isEmpty() && !tryTake(first, engines, nowNanos)) {
       return Optional.empty();
     }
     waiting.remove(first);
-    granted = first;
+    released = first;
     return Optional.of(first);
   }
 
-  /** Whether too little time is left to run it, also where it is shorter than most. */
-  private boolean outOfTime(RequestProgress progress, long nowNanos) {
-    double least = SHORT_WORK_PART * workNanos(progress.service());
-    return progress.envelope().remainingNanos(nowNanos) < least;
+  /** Whether too little time is left to run the request, even if it is shorter than most. */
+  private boolean hasTooLittleTime(RequestProgress progress, long nowNanos) {
+    double shortestNanos = SHORT_WORK_FRACTION * workNanos(progress.service());
+    return progress.envelope().remainingNanos(nowNanos) < shortestNanos;
   }
 
   private long workNanos(String service) {
     return (long) (selector.stays().workMillis(service).orElse(0) * NANOS_PER_MILLI);
   }
 
-  /** In about how many ms a request that came now would have room. */
+  /** Estimated wait of a request that arrives now, in ms. */
   double forecastMillis(String service, List<ServingEngine> engines) {
     double slots = engines.stream().mapToInt(ServingEngine::slots).sum();
     double perRequest = selector.stays().workMillis(service).orElse(0) / Math.max(1, slots);
     return nodes * (1 + waiting.size(service)) * perRequest;
   }
 
-  /** Whether a request that came now would not be served in the time that it has. */
-  boolean hopeless(RequestProgress progress, List<ServingEngine> engines, long nowNanos) {
+  /** Whether a request that arrives now would not be served before its deadline. */
+  boolean cannotBeServedInTime(
+      RequestProgress progress, List<ServingEngine> engines, long nowNanos) {
     long left = progress.envelope().remainingNanos(nowNanos);
-    double least = forecastMillis(progress.service(), engines) / FORECAST_MARGIN;
-    return least > TimeUnit.NANOSECONDS.toMillis(left);
+    double shortestMillis = forecastMillis(progress.service(), engines) / FORECAST_MARGIN;
+    return shortestMillis > TimeUnit.NANOSECONDS.toMillis(left);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptOutcome.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptOutcome.java
@@ -1,26 +1,32 @@
 package org.fallturn.core.dispatch;
 
-/** How an attempt at one engine ended without a whole, good answer. */
+/** How an attempt at one engine ended that brought no complete, successful answer. */
 public enum AttemptOutcome {
   /** No byte of the request reached the engine. */
   NOT_SENT(false),
-  /** Not sent, since its engine wants nothing more from this node. */
+  /** Not sent, because the engine wants no more requests from this node. */
   HELD_BACK(false),
-  /** The engine says that it did not run the request. */
+  /** The engine reported that it did not run the request. */
   NOT_EXECUTED(false),
-  /** Who answers there is not the engine that was meant, or has another part now; nothing ran. */
+  /**
+   * The process at the engine's address is not the engine that was meant, or has another role now;
+   * nothing ran.
+   */
   MISDIRECTED(false),
-  /** The engine answered with a failure of its own after it may have run the request. */
+  /** The engine reported a failure of its own, after it may have run the request. */
   ANSWERED_FAILURE(true),
-  /** The connection broke, or what came back is no answer to this request. */
+  /** The connection broke, or the bytes received are no answer to this request. */
   LOST(true),
-  /** No sign of an answer within the patience of the attempt. */
+  /** No part of an answer came within the timeout of the attempt. */
   SILENT(true),
-  /** Given up by this node for a reason that says nothing about the engine. */
+  /** This node gave the attempt up for a reason that says nothing about the engine. */
   WITHDRAWN(true),
-  /** No sign of an answer before the caller's time ran short; the engine may be in good health. */
+  /**
+   * No part of an answer came before the caller's deadline cut the timeout short; the engine may be
+   * healthy.
+   */
   OUT_OF_TIME(true),
-  /** Part of the answer had been passed on when it broke off. */
+  /** The answer broke off after part of it had been passed on to the caller. */
   BROKEN_MIDWAY(true);
 
   private final boolean mayHaveRun;
@@ -34,17 +40,17 @@
     return this != NOT_SENT && this != HELD_BACK;
   }
 
-  /** Whether the engine may have begun work on the request. */
+  /** Whether the engine may have begun to work on the request. */
   public boolean mayHaveRun() {
     return mayHaveRun;
   }
 
-  /** Whether it is what a crash of the engine looks like, among other things. */
+  /** Whether a crash of the engine may have caused this outcome; other faults look the same. */
   public boolean mayBeCrash() {
     return this == LOST || this == BROKEN_MIDWAY;
   }
 
-  /** Whether it speaks against the engine or the way to it. */
+  /** Whether the outcome speaks against the engine or the network path to it. */
   public boolean blamesEngine() {
     return switch (this) {
       case HELD_BACK, NOT_EXECUTED, MISDIRECTED, ANSWERED_FAILURE, WITHDRAWN, OUT_OF_TIME -> false;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeout.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeout.java
@@ -3,16 +3,16 @@
 import java.time.Duration;
 
 /**
- * How long an attempt may go without a sign of an answer.
+ * How long an attempt may go without any part of an answer.
  *
- * @param duration the time
- * @param fair whether the engine should have answered within it; not when the caller's own time
- *     bounds it, so that silence then says nothing about the engine
+ * @param duration the timeout
+ * @param blamesEngine whether silence for that long speaks against the engine; false when the
+ *     caller's deadline cut the timeout short, since a healthy engine may need longer
  */
-public record AttemptTimeout(Duration duration, boolean fair) {
+public record AttemptTimeout(Duration duration, boolean blamesEngine) {
 
-  /** What silence for that long means. */
-  public AttemptOutcome whenOver() {
-    return fair ? AttemptOutcome.SILENT : AttemptOutcome.OUT_OF_TIME;
+  /** The outcome of an attempt in which nothing came within the timeout. */
+  public AttemptOutcome outcomeOnTimeout() {
+    return blamesEngine ? AttemptOutcome.SILENT : AttemptOutcome.OUT_OF_TIME;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeoutPolicy.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeoutPolicy.java
@@ -4,8 +4,9 @@
 import org.fallturn.core.routing.Route;
 
 /**
- * How long an attempt may go without a sign of an answer before it is asked whether it is stuck. A
- * request that could not be sent again is waited for until its time is over. Immutable.
+ * Timeouts of attempts: how long an attempt may go without any part of an answer before the
+ * dispatcher checks whether it is stuck. An attempt whose request could not be sent again is waited
+ * for until the caller's deadline. Immutable.
  */
 final class AttemptTimeoutPolicy {
 
@@ -15,30 +16,36 @@
   private static final long PREFILL_BASE_NANOS = Duration.ofMillis(300).toNanos();
 
   /**
-   * For a prompt that is read ahead.
+   * Timeout of an attempt in which a prefill engine reads the prompt.
    *
-   * @param expectedMillis how long it should take
+   * @param expectedMillis expected time to the first token, in ms
+   * @param remainingNanos time until the caller's deadline
    */
   AttemptTimeout forPrefill(double expectedMillis, long remainingNanos) {
     long wanted =
         PREFILL_BASE_NANOS + Duration.ofMillis((long) (PREFILL_FACTOR * expectedMillis)).toNanos();
-    return within(wanted, remainingNanos);
+    return cappedAt(wanted, remainingNanos);
   }
 
-  private static AttemptTimeout within(long wantedNanos, long mostNanos) {
-    long most = Math.max(0, mostNanos);
-    return new AttemptTimeout(Duration.ofNanos(Math.min(wantedNanos, most)), wantedNanos <= most);
+  private static AttemptTimeout cappedAt(long wantedNanos, long limitNanos) {
+    long limit = Math.max(0, limitNanos);
+    return new AttemptTimeout(Duration.ofNanos(Math.min(wantedNanos, limit)), wantedNanos <= limit);
   }
 
-  /** For a request that runs. */
+  /**
+   * Timeout of an attempt that runs the request.
+   *
+   * @param expectedMillis expected time to the first token, in ms; 0 for an application request
+   * @param remainingNanos time until the caller's deadline
+   */
   AttemptTimeout forRun(RequestProgress progress, double expectedMillis, long remainingNanos) {
     Route route = progress.envelope().route();
     if (!progress.mayGoElsewhere()) {
-      return within(Long.MAX_VALUE, remainingNanos);
+      return cappedAt(Long.MAX_VALUE, remainingNanos);
     }
     long wanted =
         (long) (RUN_TARGETS * route.targetLatency().toNanos())
             + Duration.ofMillis((long) (RUN_FACTOR * expectedMillis)).toNanos();
-    return within(wanted, remainingNanos);
+    return cappedAt(wanted, remainingNanos);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Decision.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Decision.java
@@ -5,17 +5,18 @@
 import org.fallturn.core.error.ErrorKind;
 import org.fallturn.core.routing.ServingEngine;
 
-/** What is to be done next for a request. */
+/** The next step for a request. */
 public sealed interface Decision {
 
   /**
-   * Have an engine read the prompt and keep its KV cache for another engine.
+   * Send the prompt to an engine that reads it and keeps the KV cache for another engine.
    *
-   * @param engine the engine
-   * @param fetchFrom engine whose cached parts it copies first
-   * @param urgency order among the engine's requests; 0 is first
-   * @param estimate what it was decided from
-   * @param timeout how long to wait for it
+   * @param engine the engine that reads the prompt
+   * @param fetchFrom the engine from which it first copies cached parts of the prompt; empty when
+   *     it copies none
+   * @param urgency urgency level among the engine's requests, 0 goes first
+   * @param estimate the figures that this decision is based on, for logs
+   * @param timeout how long to wait for the engine's answer
    */
   record Prefill(
       ServingEngine engine,
@@ -26,13 +27,15 @@
       implements Decision {}
 
   /**
-   * Have an engine run the request.
+   * Send the request to an engine that runs it.
    *
-   * @param engine the engine
-   * @param source where it fetches the prompt's KV cache; empty when it reads the prompt itself
-   * @param fetchFrom engine whose cached parts it copies first
-   * @param urgency order among the engine's requests; 0 is first
-   * @param estimate what it was decided from
+   * @param engine the engine that runs the request
+   * @param source where it fetches the KV cache of the prompt; empty when it reads the prompt
+   *     itself
+   * @param fetchFrom the engine from which it first copies cached parts of the prompt; empty when
+   *     it copies none
+   * @param urgency urgency level among the engine's requests, 0 goes first
+   * @param estimate the figures that this decision is based on, for logs
    * @param timeout how long to wait for the head of its answer
    */
   record Run(
@@ -47,10 +50,10 @@
   /**
    * End the request with an error of this node.
    *
-   * @param kind entry of the closed list
-   * @param cause why, for figures
-   * @param reason for people
-   * @param retryAfter when to come back, for a request that was not run
+   * @param kind error kind in the answer to the caller
+   * @param cause the cause by which metrics and logs count the refusal
+   * @param reason explanation for people
+   * @param retryAfter when the caller may try again; present only where the request was not run
    */
   record Refuse(ErrorKind kind, RefusalCause cause, String reason, Optional<Duration> retryAfter)
       implements Decision {}
@@ -58,11 +61,11 @@
   /**
    * Keep the request at this node until an engine has room for it.
    *
-   * @param forecastMillis in about how many ms that will be
-   * @param ahead requests of its service that wait here already
+   * @param forecastMillis estimated wait, in ms
+   * @param ahead number of requests of the same service that already wait here
    */
   record Wait(double forecastMillis, int ahead) implements Decision {}
 
-  /** Pass on the failure that the last engine answered with. */
+  /** Pass the failure that the last engine answered with on to the caller. */
   record PassFailure() implements Decision {}
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/DispatchParameters.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/DispatchParameters.java
@@ -5,19 +5,20 @@
 import org.fallturn.core.waiting.WaitingParameters;
 
 /**
- * Constants of the dispatcher; see the settings of section {@code dispatch} for their bounds.
+ * Parameters of the dispatcher; the settings of section {@code dispatch} describe their bounds.
  *
  * @param node name of this node
  * @param zone zone of this node
- * @param prefillTokensPerMilli reading speed that is assumed until one is measured
- * @param retryRatio repeats a request, over the whole fleet
- * @param retrySlack repeats beyond the ratio, over the whole fleet
- * @param retryWindow window of the two
- * @param lastResort how long a leaving engine may be used when its service has no other
- * @param minRetryAfter shortest advice on when to come back
+ * @param prefillTokensPerMilli reading speed that is assumed until one is measured, in tokens per
+ *     ms
+ * @param retryRatio allowed repeats per request, over the whole fleet
+ * @param retrySlack allowed repeats beyond the ratio, over the whole fleet
+ * @param retryWindow sliding window in which the ratio and the slack hold
+ * @param lastResort how long a leaving engine may still be used when its service has no other
+ * @param minRetryAfter shortest time after which a refused caller is told to try again
  * @param stages when engines change their stage
- * @param waiting what is decided on requests that compete for room
- * @param learnsPace whether the pace of each engine is learned and gone by
+ * @param waiting how requests that compete for capacity are handled
+ * @param learnsPace whether the pace of each engine is estimated and used in placement
  */
 public record DispatchParameters(
     String node,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -22,11 +22,12 @@
 import org.fallturn.core.waiting.WaitingParameters;
 
 /**
- * Decides where each request runs and what follows when an attempt fails.
+ * Decides which engine serves each request, and what happens after a failed attempt.
  *
- * <p>Invariants: a request that may not be repeated is sent again only when no engine can have run
- * it; it is called not run only when no engine can have run it; no request may run on more engines
- * than its route allows; repeats stay within the retry budget. Only the dispatch thread calls.
+ * <p>Invariants: a request that must not be repeated is sent again only when no engine can have run
+ * it; an answer says that a request was not run only when no engine can have run it; no request
+ * runs on more engines than its route allows; repeats stay within the retry budget. Not
+ * thread-safe: only the dispatch thread calls.
  */
 public final class Dispatcher {
 
@@ -37,23 +38,23 @@
   private final PeerLoads peerLoads = new PeerLoads();
   private final EngineNotices notices;
   private final EngineSelector selector;
-  private final PromptPlacement prompts;
+  private final PromptPlacement promptPlacement;
   private final StageControl stages;
   private final SilenceDetector silence;
-  private final AttemptTimeoutPolicy timeout = new AttemptTimeoutPolicy();
+  private final AttemptTimeoutPolicy timeouts = new AttemptTimeoutPolicy();
   private final PrefillSpeeds speeds;
   private final PaceObserver pace;
   private final FleetView fleet;
   private final ServiceSplit split = new ServiceSplit();
   private final RetryRules retries;
   private final Refusals refusals;
-  private final ApplicationQueue room;
-  private final List<EndedWait> shed = new ArrayList<>();
+  private final ApplicationQueue queue;
+  private final List<EndedWait> evictedWaits = new ArrayList<>();
   private final Quarantine quarantine;
   private Optional<RoutingImage> routing = Optional.empty();
-  private EngineDirectory listed = EngineDirectory.empty();
+  private EngineDirectory listedEngines = EngineDirectory.empty();
 
-  /** A dispatcher that knows no engine yet. */
+  /** Creates a dispatcher that knows no engine yet. */
   public Dispatcher(DispatchParameters parameters) {
     this.parameters = parameters;
     this.retries = new RetryRules(parameters, peerLoads);
@@ -65,43 +66,49 @@
     this.pace = new PaceObserver(peerLoads, speeds::of, parameters.learnsPace());
     this.selector =
         new EngineSelector(parameters.zone(), peerLoads, notices, pace.pace(), lastResortNanos);
-    this.room = new ApplicationQueue(selector);
+    this.queue = new ApplicationQueue(selector);
     this.fleet = new FleetView(selector, peerLoads, notices, speeds, pace, this::cacheTokens);
-    this.prompts = new PromptPlacement(selector, parameters.zone());
+    this.promptPlacement = new PromptPlacement(selector, parameters.zone());
     this.silence = new SilenceDetector(selector, peerLoads, speeds::of, this::profile);
     this.stages =
         new StageControl(selector, peerLoads, speeds::of, parameters.node(), parameters.stages());
   }
 
-  /** Takes changed bounds and constants; this node's zone and the windows stay. */
+  /** Applies changed parameters; the zone of this node and the windows stay as they are. */
   public void setParameters(DispatchParameters changed) {
     parameters = changed;
     retries.setParameters(changed);
     refusals.setParameters(changed);
   }
 
-  /** Takes a newer list of engines; {@link #directory} is what is believed with it. */
+  /**
+   * Applies a newer list of engines; {@link #directory} returns it together with what engines
+   * reported about leaving.
+   */
   public void setDirectory(EngineDirectory directory, long nowNanos) {
-    listed = directory;
+    listedEngines = directory;
     fleet.setListed(directory);
     directory.all().stream()
         .filter(ServingEngine::leaving)
         .forEach(engine -> notices.onLeaving(engine.id(), NoticeSource.LIST, nowNanos));
     selector.setDirectory(directory(), nowNanos);
-    room.retain(selector.knownIds());
+    queue.retain(selector.knownIds());
     silence.onDirectory(nowNanos);
     pace.onDirectory(directory());
     quarantine.onDirectory(engineId -> directory.find(engineId).isPresent(), nowNanos);
   }
 
-  /** The listed engines, of which those leave that have said so, whatever their entries say. */
+  /**
+   * The listed engines. An engine that announced that it is leaving is marked as leaving, whatever
+   * its entry says.
+   */
   public EngineDirectory directory() {
-    return listed.withLeaving(notices::leaves);
+    return listedEngines.withLeaving(notices::leaves);
   }
 
   /**
-   * Engines that were found to leave since the last call; none of them gets a request from now on
-   * while its service has another.
+   * Engines that were found to be leaving since the last call. From now on they get requests only
+   * while their service has no other engine.
    */
   public List<LeavingNotice> takeLeaving(long nowNanos) {
     List<LeavingNotice> found = notices.takePending();
@@ -111,53 +118,61 @@
     return found;
   }
 
-  /** Limits of engines that were named, changed or ended since the last call. */
+  /** Limits of engines that were reported, changed or ended since the last call. */
   public List<LimitChange> takeLimitChanges() {
     return notices.limits().takePending();
   }
 
-  /** Takes a newer set of services. */
+  /** Applies a newer set of services. */
   public void setRouting(RoutingImage image) {
     split.retain(image.routeNames());
     routing = Optional.of(image);
   }
 
-  /** What the other nodes have at the engines; whoever hears them tells it. */
+  /**
+   * The load that the other nodes report for the engines; whoever receives their reports adds them.
+   */
   public PeerLoads peerLoads() {
     return peerLoads;
   }
 
-  /** Factor by which reading takes longer at an engine than usual. */
+  /** Factor by which an engine reads prompts more slowly than usual. */
   double slowness(String engineId, long nowNanos) {
     return pace.pace().slowness(engineId, WorkKind.READING, nowNanos);
   }
 
-  /** What this node tells the others of the retry budgets, by service. */
+  /** The retry budgets that this node reports to the others, by service. */
   public Map<String, BudgetDigest> ownBudgets(long nowNanos) {
     return retries.digests(nowNanos);
   }
 
-  /** What engines say of themselves; whoever reads their answers tells it. */
+  /** What engines report about themselves; whoever reads their answers adds it. */
   public EngineNotices notices() {
     return notices;
   }
 
-  /** What this node hears from the others of the engines, and tells them. */
+  /**
+   * What the nodes report to each other about engines: the reports received, and those of this
+   * node.
+   */
   public FleetView fleet() {
     return fleet;
   }
 
-  /** A listed engine. */
+  /** Returns a listed engine. */
   public Optional<ServingEngine> engine(String engineId) {
     return selector.find(engineId);
   }
 
-  /** Contents that crash engines; whoever hears the other nodes or the store tells it. */
+  /**
+   * Request contents that crash engines; whoever receives reports of them from other nodes or the
+   * store adds them.
+   */
   public Quarantine quarantine() {
     return quarantine;
   }
 
-  /** Suspends engines that have gone silent; called several times a second. */
+  /** Suspends engines that have fallen silent; called several times a second. */
   public void onTick(long nowNanos) {
     notices.reportedLoads().takeAll(pace::onLoadReported);
     pace.onTick(nowNanos);
@@ -176,18 +191,18 @@
 
   /**
    * The stage change that this node should order now, if any; called about every 100 ms. The caller
-   * says by one of the next three methods what became of it.
+   * reports the outcome through one of the next three methods.
    */
   public Optional<StageChange> wantedStageChange(long nowNanos) {
     return routing.flatMap(image -> stages.onTick(image.services(), nowNanos));
   }
 
-  /** Which engines take which stage, and whether this node orders it. */
+  /** Which stage each engine serves, and whether this node orders changes of it. */
   public StageControl stages() {
     return stages;
   }
 
-  /** The change is about to be ordered: its engine gets no new requests. */
+  /** A stage change is about to be ordered; its engine gets no new requests. */
   public void onStageChangeBegun(StageChange change, long nowNanos) {
     stages.begin(change, profile(change.engine().service()), nowNanos);
   }
@@ -213,36 +228,43 @@
     return changes;
   }
 
-  /** Engines found to be slower or faster than others, or no more, since the last call. */
+  /**
+   * Engines that were found to be slower or faster than others, or no longer so, since the last
+   * call.
+   */
   public List<PaceChange> takePaceChanges(long nowNanos) {
     return pace.takeChanges(nowNanos);
   }
 
-  /** Some of an answer came from the engine that has the request. */
+  /** Part of an answer came from the engine that has the request. */
   public void onSignOfLife(RequestProgress progress, long nowNanos) {
     progress.engine().map(selector::load).ifPresent(load -> load.onSignOfLife(progress, nowNanos));
   }
 
   /**
-   * Takes the number of nodes that share the retry budget and the limits, this one included.
+   * Sets the number of nodes that share the retry budget and the limits, this one included.
    *
    * @param count empty while it is not known
    */
   public void setNodeCount(OptionalInt count) {
     fleet.setNodeCount(count);
     retries.setNodeCount(count);
-    room.setNodeCount(count);
+    queue.setNodeCount(count);
     silence.setPeersKnown(count.isPresent());
   }
 
-  /** First decision for a request. */
+  /** Makes the first decision for a request. */
   public Decision start(RequestProgress progress, long nowNanos) {
     progress.chooseService(split.next(progress.envelope().route()));
     retries.onRequest(progress.service(), nowNanos);
     return place(progress, nowNanos);
   }
 
-  /** The prompt was read; its KV cache waits under the handle. */
+  /**
+   * The prompt has been read.
+   *
+   * @param handle names the KV cache at the engine, which another engine can fetch
+   */
   public Decision onPrefilled(RequestProgress progress, String handle, long nowNanos) {
     ServingEngine engine = progress.engine().orElseThrow();
     EngineLoad load = selector.load(engine);
@@ -261,7 +283,7 @@
     return place(progress, false, nowNanos);
   }
 
-  /** The first part of the answer came, so that the prompt has been read. */
+  /** The first part of the answer came, so the prompt has been read. */
   public void onBegan(RequestProgress progress, long nowNanos) {
     pace.onDone(progress, nowNanos);
     progress.engine().ifPresent(engine -> selector.load(engine).onBegan(progress));
@@ -269,21 +291,22 @@
   }
 
   /**
-   * Why an attempt without a sign of an answer had better be ended; empty when it is waited for.
+   * Why an attempt that has brought no part of an answer should be given up; empty while it should
+   * be waited for.
    *
-   * @param timeout of the attempt
+   * @param timeout timeout of the attempt
    */
   public Optional<StuckReason> stuck(RequestProgress progress, Duration timeout, long nowNanos) {
     return silence.stuck(progress, timeout, nowNanos);
   }
 
-  /** An attempt ended without a whole, good answer. */
+  /** An attempt ended without a complete, successful answer. */
   public Decision onFailure(RequestProgress progress, AttemptOutcome outcome, long nowNanos) {
     boolean wasPrefill = progress.prefilling();
     progress.engine().ifPresent(engine -> onFailedEngine(progress, engine, outcome, nowNanos));
     release(progress, outcome.mayHaveRun());
     if (!outcome.mayHaveReached()) {
-      progress.takeBackSend();
+      progress.uncountSend();
     }
     if (!quarantine.status(progress.content(), nowNanos).sendable()) {
       return outcome == AttemptOutcome.ANSWERED_FAILURE
@@ -300,7 +323,7 @@
       RequestProgress progress, ServingEngine engine, AttemptOutcome outcome, long nowNanos) {
     selector.load(engine).health().onFailure(outcome, nowNanos);
     if (outcome == AttemptOutcome.NOT_EXECUTED && progress.envelope().prompt().isEmpty()) {
-      room.onRejection(engine, nowNanos);
+      queue.onRejection(engine, nowNanos);
     }
     if (outcome.mayBeCrash()) {
       quarantine.onCrash(progress.content(), engine.id(), nowNanos);
@@ -320,7 +343,7 @@
             prompt -> selector.cachedParts().forgetUnread(engine.id(), prompt.parts(), nowNanos));
   }
 
-  /** The answer was passed on whole. */
+  /** The complete answer was passed on to the caller. */
   public void onFinished(RequestProgress progress, long nowNanos) {
     pace.onDone(progress, nowNanos);
     progress
@@ -331,12 +354,12 @@
               load.health().onSuccess(nowNanos);
               load.onAnswered(progress);
             });
-    observeStay(progress, nowNanos);
+    observeServiceTime(progress, nowNanos);
     quarantine.onSuccess(progress.content(), nowNanos);
     release(progress, true);
   }
 
-  private void observeStay(RequestProgress progress, long nowNanos) {
+  private void observeServiceTime(RequestProgress progress, long nowNanos) {
     double millis = (nowNanos - progress.sentNanos()) / NANOS_PER_MILLI;
     boolean crowded =
         progress.engine().stream()
@@ -344,9 +367,9 @@
     selector.stays().observe(progress.service(), millis, crowded);
   }
 
-  /** The caller left or its time is over; says nothing about the engine. */
+  /** The caller left or its deadline passed; this says nothing about the engine. */
   public void onAbandoned(RequestProgress progress, long nowNanos) {
-    room.waiting().remove(progress);
+    queue.waiting().remove(progress);
     progress
         .engine()
         .ifPresent(
@@ -358,10 +381,10 @@
   }
 
   private Decision afterFailedPrefill(RequestProgress progress, long nowNanos) {
-    boolean again =
+    boolean retryPrefill =
         retries.prefillsLeft(progress) && !selector.prefillCandidates(progress, nowNanos).isEmpty();
-    if (!again && selector.runCandidates(progress, nowNanos).isEmpty()) {
-      return nowhere(progress, nowNanos);
+    if (!retryPrefill && selector.runCandidates(progress, nowNanos).isEmpty()) {
+      return noEngineLeft(progress, nowNanos);
     }
     if (!retries.takeSend(progress, nowNanos)) {
       return refusals.notRun(
@@ -369,7 +392,7 @@
           RefusalCause.RETRY_BUDGET,
           "the retry budget of " + progress.service() + " is spent");
     }
-    return place(progress, again, nowNanos);
+    return place(progress, retryPrefill, nowNanos);
   }
 
   private Decision afterFailedRun(RequestProgress progress, AttemptOutcome outcome, long nowNanos) {
@@ -380,15 +403,15 @@
     if (retries.mayRunAgain(progress, outcome, hasCandidate, nowNanos)) {
       return place(progress, false, nowNanos);
     }
-    return refusals.after(progress, outcome, untilFirstOpens(progress, nowNanos));
+    return refusals.after(progress, outcome, timeUntilFirstOpen(progress, nowNanos));
   }
 
-  private Decision nowhere(RequestProgress progress, long nowNanos) {
-    return refusals.nowhere(progress, untilFirstOpens(progress, nowNanos));
+  private Decision noEngineLeft(RequestProgress progress, long nowNanos) {
+    return refusals.noEngineLeft(progress, timeUntilFirstOpen(progress, nowNanos));
   }
 
-  private Optional<Duration> untilFirstOpens(RequestProgress progress, long nowNanos) {
-    return selector.untilFirstOpens(progress.service(), nowNanos);
+  private Optional<Duration> timeUntilFirstOpen(RequestProgress progress, long nowNanos) {
+    return selector.timeUntilFirstOpen(progress.service(), nowNanos);
   }
 
   private Decision place(RequestProgress progress, long nowNanos) {
@@ -402,8 +425,9 @@
   }
 
   /**
-   * The one way to an engine. A content that has crashed several is stopped here before each send:
-   * sent on under every new id, it ends all that runs beside it, 20 engines in 14 s.
+   * Every send to an engine goes through this method. It stops a content that has crashed several
+   * engines before each send: sent on under every new id, one such content ended all requests that
+   * ran beside it, at 20 engines in 14 s.
    */
   private Decision place(RequestProgress progress, boolean mayPrefill, long nowNanos) {
     QuarantineStatus status = quarantine.status(progress.content(), nowNanos);
@@ -425,8 +449,8 @@
       return placeApplication(progress, nowNanos);
     }
     PromptShape prompt = progress.envelope().prompt().get();
-    PromptPlacement.Question question =
-        new PromptPlacement.Question(
+    PromptPlacement.Input input =
+        new PromptPlacement.Input(
             progress,
             prompt,
             speeds.of(progress.service()),
@@ -434,110 +458,113 @@
             selector.holders(progress, prompt, nowNanos),
             parameters.waiting(),
             nowNanos);
-    return prompts
-        .choose(question, mayPrefill)
-        .filter(plan -> !plan.prefill() || untilFirstOpens(progress, nowNanos).isEmpty())
-        .map(plan -> refuseOrCarryOut(question, plan))
-        .orElseGet(() -> nowhere(progress, nowNanos));
+    return promptPlacement
+        .choose(input, mayPrefill)
+        .filter(plan -> !plan.prefill() || timeUntilFirstOpen(progress, nowNanos).isEmpty())
+        .map(plan -> refuseOrStartAttempt(input, plan))
+        .orElseGet(() -> noEngineLeft(progress, nowNanos));
   }
 
   private Decision placeApplication(RequestProgress progress, long nowNanos) {
     List<ServingEngine> engines = selector.runCandidates(progress, nowNanos);
     if (engines.isEmpty()) {
-      return nowhere(progress, nowNanos);
+      return noEngineLeft(progress, nowNanos);
     }
     WaitingParameters waiting = parameters.waiting();
-    if (waiting.waitForRoom() && room.mustWait(progress, engines, nowNanos)) {
+    if (waiting.waitForRoom() && queue.mustWait(progress, engines, nowNanos)) {
       return waitForRoom(progress, engines, nowNanos);
     }
-    ServingEngine engine = selector.evenly(progress, engines, waiting, nowNanos);
+    ServingEngine engine = selector.leastFilled(progress, engines, waiting, nowNanos);
     return runApplication(progress, engine, nowNanos);
   }
 
   private Decision waitForRoom(
       RequestProgress progress, List<ServingEngine> engines, long nowNanos) {
-    double forecast = room.forecastMillis(progress.service(), engines);
-    if (room.hopeless(progress, engines, nowNanos)) {
+    double forecast = queue.forecastMillis(progress.service(), engines);
+    if (queue.cannotBeServedInTime(progress, engines, nowNanos)) {
       return refusals.noRoom(
           progress, RefusalCause.NO_ROOM, forecast, "there is no room in its time", nowNanos);
     }
-    int ahead = room.waiting().size(progress.service());
+    int ahead = queue.waiting().size(progress.service());
     Decision decision = new Decision.Wait(forecast, ahead);
-    for (RequestProgress left :
-        room.add(progress, parameters.waiting().maxWaitingBytes(), nowNanos)) {
+    for (RequestProgress evicted :
+        queue.add(progress, parameters.waiting().maxWaitingBytes(), nowNanos)) {
       Decision refusal =
           refusals.noRoom(
-              left,
+              evicted,
               RefusalCause.MEMORY_FULL,
               forecast,
               "what waits here has filled its memory",
               nowNanos);
-      if (left == progress) {
+      if (evicted == progress) {
         decision = refusal;
       } else {
-        shed.add(new EndedWait(left, refusal));
+        evictedWaits.add(new EndedWait(evicted, refusal));
       }
     }
     return decision;
   }
 
-  /** A request that no longer waits, and what is next for it. */
+  /** A request that no longer waits, and the next step for it. */
   public record EndedWait(RequestProgress progress, Decision decision) {}
 
-  /** Requests whose wait for an engine is over; called at each tick and when anything happened. */
+  /** Requests whose wait for an engine is over; called at each tick and after every event. */
   public List<EndedWait> takeEndedWaits(long nowNanos) {
-    if (room.waiting().size() == 0 && shed.isEmpty()) {
+    if (queue.waiting().size() == 0 && evictedWaits.isEmpty()) {
       return List.of();
     }
-    List<EndedWait> ended = new ArrayList<>(shed);
-    shed.clear();
-    for (RequestProgress late : room.takeEnded(nowNanos)) {
+    List<EndedWait> ended = new ArrayList<>(evictedWaits);
+    evictedWaits.clear();
+    for (RequestProgress expired : queue.takeExpired(nowNanos)) {
       ended.add(
           new EndedWait(
-              late,
+              expired,
               refusals.notRun(
                   ErrorKind.DEADLINE_UNREACHABLE,
                   RefusalCause.TIME_OVER,
                   "no engine had room for it in its time")));
     }
-    for (String service : room.waiting().services()) {
-      Optional<RequestProgress> next = room.takeNext(service, nowNanos);
+    for (String service : queue.waiting().services()) {
+      Optional<RequestProgress> next = queue.takeNext(service, nowNanos);
       while (next.isPresent()) {
         ended.add(new EndedWait(next.get(), place(next.get(), false, nowNanos)));
-        next = room.takeNext(service, nowNanos);
+        next = queue.takeNext(service, nowNanos);
       }
     }
     return ended;
   }
 
-  /** This node stops: nothing waits here from now on. */
+  /** Ends all waits because this node is stopping; no request waits here from now on. */
   public List<EndedWait> closeWaits() {
-    return room.close().stream().map(one -> new EndedWait(one, refusals.stopping())).toList();
+    return queue.close().stream()
+        .map(request -> new EndedWait(request, refusals.stopping()))
+        .toList();
   }
 
-  /** How many requests wait at this node for room at an engine. */
+  /** Number of requests that wait at this node for room at an engine. */
   public int waitingCount() {
-    return room.waiting().size();
+    return queue.waiting().size();
   }
 
-  /** Memory that their bodies take. */
+  /** Memory that the bodies of the waiting requests take, in bytes. */
   public long waitingBytes() {
-    return room.waiting().bytes();
+    return queue.waiting().bytes();
   }
 
-  private Decision refuseOrCarryOut(PromptPlacement.Question question, PromptPlacement.Plan plan) {
-    Optional<Duration> comeBack = OverloadPolicy.refusal(question, plan);
-    if (comeBack.isPresent()) {
+  private Decision refuseOrStartAttempt(PromptPlacement.Input input, PromptPlacement.Plan plan) {
+    Optional<Duration> retryDelay = OverloadPolicy.refusal(input, plan);
+    if (retryDelay.isPresent()) {
       return new Decision.Refuse(
           ErrorKind.NO_CAPACITY,
           RefusalCause.FORESEEN,
           "it would wait " + Math.round(plan.millis()) + " ms for its first token",
-          comeBack.map(refusals::atLeastMin));
+          retryDelay.map(refusals::atLeastMinRetryDelay));
     }
-    return carryOut(question.progress(), plan, question.nowNanos());
+    return startAttempt(input.progress(), plan, input.nowNanos());
   }
 
-  private Decision carryOut(RequestProgress progress, PromptPlacement.Plan plan, long nowNanos) {
+  private Decision startAttempt(
+      RequestProgress progress, PromptPlacement.Plan plan, long nowNanos) {
     PromptShape prompt = progress.envelope().prompt().orElseThrow();
     ServingEngine engine = plan.engine();
     fleet.onPlaced(engine, prompt, plan.millis(), nowNanos);
@@ -549,12 +576,12 @@
     if (!plan.prefill()) {
       return run(progress, engine, plan.fetchFrom(), plan.estimate(), plan.urgency(), nowNanos);
     }
-    AttemptTimeout patienceForIt =
-        timeout.forPrefill(plan.millis(), progress.envelope().remainingNanos(nowNanos));
+    AttemptTimeout attemptTimeout =
+        timeouts.forPrefill(plan.millis(), progress.envelope().remainingNanos(nowNanos));
     progress.beginPrefill(engine, plan.estimate(), plan.urgency(), nowNanos);
     selector.load(engine).add(progress);
     return new Decision.Prefill(
-        engine, plan.fetchFrom(), progress.level(), plan.estimate(), patienceForIt);
+        engine, plan.fetchFrom(), progress.level(), plan.estimate(), attemptTimeout);
   }
 
   private Decision runApplication(RequestProgress progress, ServingEngine engine, long nowNanos) {
@@ -572,10 +599,10 @@
       long nowNanos) {
     progress.beginRun(engine, estimate, urgency, nowNanos);
     selector.load(engine).add(progress);
-    AttemptTimeout patienceForIt =
-        timeout.forRun(progress, estimate.millis(), progress.envelope().remainingNanos(nowNanos));
+    AttemptTimeout attemptTimeout =
+        timeouts.forRun(progress, estimate.millis(), progress.envelope().remainingNanos(nowNanos));
     return new Decision.Run(
-        engine, progress.source(), fetchFrom, progress.level(), estimate, patienceForIt);
+        engine, progress.source(), fetchFrom, progress.level(), estimate, attemptTimeout);
   }
 
   private Optional<EngineProfile> profile(String service) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -26,18 +26,22 @@
 import org.fallturn.core.waiting.WaterFilling;
 
 /**
- * Picks engines by cost: load as this node and its peers count it, health from outcomes, distance,
- * and for prompts the tokens that would have to be read. One thread calls.
+ * Knows the engines of each service, and picks among them by cost: load as this node and its peers
+ * count it, health as shown by the outcomes of attempts, distance, and for prompts the tokens that
+ * would have to be read. Only the dispatch thread calls.
  */
 final class EngineSelector {
 
   private static final double OTHER_ZONE_RUN_COST = 0.03;
   private static final double FAILURE_RUN_COST = 1.0;
 
-  /** Nodes that speak to each other tell what they have ten times a second. */
-  private static final double HALF_TURN_MILLIS = 50;
+  /**
+   * Mean age of a load report when the next one comes, without delays on the way: half of the
+   * interval of 100 ms, as nodes report their load to each other ten times a second.
+   */
+  private static final double MEAN_REPORT_AGE_MILLIS = 50;
 
-  /** Shorter shared parts are read again sooner than they are copied. */
+  /** Shorter shared parts are read again in less time than a copy takes. */
   static final int MIN_COPIED_TOKENS = 1_000;
 
   private final String zone;
@@ -53,10 +57,10 @@
   private EngineDirectory directory = EngineDirectory.empty();
 
   /**
-   * A selector that knows no engine.
+   * Creates a selector that knows no engine.
    *
-   * @param pace how fast each engine works
-   * @param lastResortNanos how long an engine that leaves, or whose entry is gone, may still be
+   * @param pace estimates how fast each engine works
+   * @param lastResortNanos how long an engine that is leaving, or whose entry is gone, may still be
    *     used when its service has no other
    */
   EngineSelector(
@@ -72,23 +76,26 @@
     this.departures = new RecentDepartures(lastResortNanos);
   }
 
-  /** Takes a new list; loads of engines that are gone stay until their requests have ended. */
+  /**
+   * Applies a new list of engines; the load of an engine that is gone is kept until its requests
+   * have ended.
+   */
   void setDirectory(EngineDirectory newDirectory, long nowNanos) {
     departures.onChange(directory, newDirectory, nowNanos);
-    newDirectory.all().forEach(this::resetWhenStageChanged);
+    newDirectory.all().forEach(this::resetHealthIfStageChanged);
     directory = newDirectory;
     changing.prune(directory, nowNanos);
     Set<String> present = new HashSet<>();
     directory.all().forEach(engine -> present.add(engine.id()));
     notices.retain(present, nowNanos);
-    Set<String> believed = new HashSet<>(present);
-    believed.addAll(departures.ids());
-    cachedParts.retain(believed);
+    Set<String> known = new HashSet<>(present);
+    known.addAll(departures.ids());
+    cachedParts.retain(known);
     loads.entrySet().removeIf(e -> !present.contains(e.getKey()) && e.getValue().idle());
   }
 
-  /** What was held against an engine in its former stage says nothing about the new one. */
-  private void resetWhenStageChanged(ServingEngine engine) {
+  /** Failures of an engine in its former stage say nothing about the new stage. */
+  private void resetHealthIfStageChanged(ServingEngine engine) {
     boolean changed =
         directory.find(engine.id()).filter(b -> b.stage() != engine.stage()).isPresent();
     if (changed) {
@@ -106,32 +113,35 @@
     return !engine.leaving() && healthy(engine, nowNanos);
   }
 
-  /** How long it takes until what another node does is known here. */
+  /** How long it takes until this node learns what another node has sent to the engines, in ms. */
   double lagMillis(long nowNanos) {
     return peerLoads.lagMillis(nowNanos);
   }
 
-  /** How often what the other nodes have at the engines is renewed here, and its age then. */
-  double renewMillis(long nowNanos) {
-    return HALF_TURN_MILLIS + lagMillis(nowNanos);
+  /** How old this node's view of the other nodes' load becomes before it is refreshed, in ms. */
+  double refreshMillis(long nowNanos) {
+    return MEAN_REPORT_AGE_MILLIS + lagMillis(nowNanos);
   }
 
-  /** Factor by which work takes longer at an engine than is usual for its service. */
+  /** Factor by which work takes longer at an engine than usual for its service. */
   double slowness(ServingEngine engine, WorkKind kind, long nowNanos) {
     return pace.slowness(engine.id(), kind, nowNanos);
   }
 
-  /** Requests that all nodes have at an engine. */
+  /** Number of requests that all nodes have at an engine. */
   int running(ServingEngine engine, long nowNanos) {
     return load(engine).running() + peerLoads.running(engine.id(), nowNanos);
   }
 
-  /** Long answers that have begun at an engine, of all nodes. */
+  /** Number of long answers that have begun at an engine, for all nodes. */
   int streams(ServingEngine engine, long nowNanos) {
     return load(engine).streams() + peerLoads.streams(engine.id(), nowNanos);
   }
 
-  /** The stage an engine isChangingStage to by this node's order or another's; NONE otherwise. */
+  /**
+   * The stage that an engine is changing to, by order of this node or another; NONE when it is not
+   * changing.
+   */
   EngineStage changingTo(ServingEngine engine, long nowNanos) {
     EngineStage own = changing.stageOf(engine.id());
     if (own != EngineStage.NONE || !peerLoads.changing(engine.id(), nowNanos)) {
@@ -153,24 +163,24 @@
     changing.prune(directory, nowNanos);
   }
 
-  /** Whether this node has ordered the engine to change. */
+  /** Whether this node has ordered the engine to change its stage. */
   boolean isChangingStage(String engineId) {
     return changing.stageOf(engineId) != EngineStage.NONE;
   }
 
-  /** A listed engine. */
+  /** Returns a listed engine. */
   Optional<ServingEngine> find(String engineId) {
     return directory.find(engineId);
   }
 
-  /** The engines that are listed, or were until a short while ago. */
+  /** Ids of the engines that are listed, or were until a short while ago. */
   Set<String> knownIds() {
     Set<String> ids = new HashSet<>(departures.ids());
     directory.all().forEach(engine -> ids.add(engine.id()));
     return ids;
   }
 
-  /** Service of a listed engine; empty for any other. */
+  /** Service of a listed engine; empty for any other engine. */
   String serviceOf(String engineId) {
     return directory.find(engineId).map(ServingEngine::service).orElse("");
   }
@@ -187,19 +197,22 @@
     return cachedParts;
   }
 
-  /** A request of the service is about to be placed, at any engine that has room for it. */
+  /**
+   * Notes that a request of the service is about to be placed, which any of its engines with room
+   * may get.
+   */
   void onAsked(String service, long nowNanos) {
     for (ServingEngine engine : directory.ofService(service)) {
       notices.limits().onAsked(engine.id(), nowNanos);
     }
   }
 
-  /** Engines that may read a prompt ahead. */
+  /** Engines that may read the prompt in a separate prefill step. */
   List<ServingEngine> prefillCandidates(RequestProgress progress, long nowNanos) {
     return candidates(progress, EngineSelector::prefills, nowNanos);
   }
 
-  /** Engines that may run a request. */
+  /** Engines that may run the request. */
   List<ServingEngine> runCandidates(RequestProgress progress, long nowNanos) {
     List<ServingEngine> fit = candidates(progress, engine -> !prefills(engine), nowNanos);
     return progress.isolated() ? leastRunning(fit, nowNanos) : fit;
@@ -211,48 +224,56 @@
   }
 
   /**
-   * Tokens of KV cache that the requests at an engine hold when they run: those of this node, and
-   * for each of another as many as is usual here.
+   * Estimated tokens of KV cache that the requests at an engine occupy while they run: the known
+   * figure for those of this node, and this node's average for each request of another.
    */
   double cacheTokens(ServingEngine engine, long nowNanos) {
     return load(engine).cacheTokens()
-        + peerLoads.running(engine.id(), nowNanos) * sizes(engine.service()).meanCache();
+        + peerLoads.running(engine.id(), nowNanos) * sizes(engine.service()).meanCacheTokens();
   }
 
-  /** Prompt tokens that wait to be read at the engine, as far as they are known here. */
+  /** Prompt tokens that wait to be read at the engine, as far as this node knows. */
   long backlogTokens(ServingEngine engine, long nowNanos) {
     return backlogTokens(engine, Urgency.LEVELS - 1, nowNanos);
   }
 
-  /** Those of them that go before a request of an {@link Urgency} level. */
+  /**
+   * Prompt tokens that wait at the engine and are read before a request of the given level.
+   *
+   * @param level an {@link Urgency} level
+   */
   long backlogTokens(ServingEngine engine, int level, long nowNanos) {
     return load(engine).backlog().upTo(level)
         + peerLoads.backlog(engine.id(), nowNanos).upTo(level);
   }
 
   /**
-   * Tokens that an engine is likely to read before it takes a request of an {@link Urgency} level:
-   * those of the level and of those before it, and what is left of a less urgent prompt that it has
-   * begun, which it does not set aside.
+   * Tokens that an engine is expected to read before a request of the given level: those of more
+   * urgent levels and of the same level, and the rest of a less urgent prompt that it has begun,
+   * which it does not interrupt.
+   *
+   * @param level an {@link Urgency} level
    */
   long aheadTokens(ServingEngine engine, int level, long nowNanos) {
     long before = backlogTokens(engine, level, nowNanos);
     long lessUrgent = backlogTokens(engine, nowNanos) - before;
-    return before + (long) Math.min(lessUrgent, sizes(engine.service()).leftOfOne());
+    return before + (long) Math.min(lessUrgent, sizes(engine.service()).meanResidualTokens());
   }
 
-  /** How long the prompts of a service are. */
+  /** Statistics of the prompt lengths of a service. */
   PromptSizes sizes(String service) {
     return sizes.computeIfAbsent(service, name -> new PromptSizes());
   }
 
-  /** Tokens of the prompt that the engine would have to read. */
+  /**
+   * Tokens of the prompt that the engine would have to read because it does not have them cached.
+   */
   int uncachedTokens(ServingEngine engine, PromptShape prompt) {
     int cached = cachedParts.cachedTokens(engine.id(), prompt.parts());
     return Math.max(0, prompt.promptTokens() - cached);
   }
 
-  /** Who keeps some of a prompt now and can be copied from. */
+  /** Engines that have part of the prompt cached now and from which it can be copied. */
   PrefixHolders holders(RequestProgress progress, PromptShape prompt, long nowNanos) {
     if (progress.source().isPresent() || prompt.sharedTokens() < MIN_COPIED_TOKENS) {
       return PrefixHolders.none();
@@ -261,28 +282,31 @@
     int soonTokens = 0;
     for (ServingEngine engine : directory.ofService(progress.service())) {
       if (!engine.leaving()) {
-        int soon = cachedParts.cachedTokens(engine.id(), prompt.sharedParts());
-        soonTokens = Math.max(soonTokens, soon);
+        int cachedSoon = cachedParts.cachedTokens(engine.id(), prompt.sharedParts());
+        soonTokens = Math.max(soonTokens, cachedSoon);
       }
       int tokens = cachedParts.readyTokens(engine.id(), prompt.parts(), nowNanos);
-      if (tokens > 0 && usableSource(engine, nowNanos)) {
+      if (tokens > 0 && canBeCopiedFrom(engine, nowNanos)) {
         holders.add(new PrefixHolders.Holder(engine, tokens));
       }
     }
     return PrefixHolders.of(holders, soonTokens);
   }
 
-  /** Whether this node or several others have suspended the engine. */
+  /** Whether this node or several others suspect the engine. */
   boolean suspected(ServingEngine engine, long nowNanos) {
     return load(engine).health().suspended() || peerLoads.suspectedByPeers(engine.id(), nowNanos);
   }
 
-  private boolean usableSource(ServingEngine holder, long nowNanos) {
+  private boolean canBeCopiedFrom(ServingEngine holder, long nowNanos) {
     return !suspected(holder, nowNanos);
   }
 
-  /** All nodes agree on the first engine to read a shared part, so that it is read once. */
-  Optional<ServingEngine> home(PromptShape prompt, Collection<ServingEngine> candidates) {
+  /**
+   * The engine that is preferred to read a new shared part, chosen by rendezvous hashing: all nodes
+   * choose the same, so the part is read once.
+   */
+  Optional<ServingEngine> homeEngine(PromptShape prompt, Collection<ServingEngine> candidates) {
     return prompt
         .lastSharedPart()
         .flatMap(
@@ -295,38 +319,40 @@
                                 RendezvousHash.weight(part.id(), right.id()))));
   }
 
-  /** Of how long application requests stay at the engines; whoever sees them end tells it. */
+  /** How long application requests take at the engines; whoever sees them end records it. */
   ResponseTimes stays() {
     return stays;
   }
 
   /**
-   * The engine for an application request: with those that the fleet sends before this node hears
-   * of them, requests fill all engines up to one level. Without others it is the emptiest.
+   * Chooses the engine for an application request by water-filling: requests fill all engines up to
+   * one relative load, counting those that other nodes send before this node learns of them. When
+   * no other requests are expected, it chooses the engine of the least relative load.
    *
-   * @param engines those that may run it; at least one
+   * @param engines engines that may run the request; at least one
    */
-  ServingEngine evenly(
+  ServingEngine leastFilled(
       RequestProgress progress,
       List<ServingEngine> engines,
       WaitingParameters waiting,
       long nowNanos) {
-    List<WaterFilling.EngineFill> vessels =
-        engines.stream().map(engine -> vessel(engine, nowNanos)).toList();
-    int ofPeers = engines.stream().mapToInt(e -> peerLoads.running(e.id(), nowNanos)).sum();
-    double lag = Math.max(HALF_TURN_MILLIS, lagMillis(nowNanos));
-    double unseen = waiting.evenFill() ? stays.arrivalsWithin(progress.service(), ofPeers, lag) : 0;
+    List<WaterFilling.EngineFill> engineFills =
+        engines.stream().map(engine -> engineFill(engine, nowNanos)).toList();
+    int runningByPeers = engines.stream().mapToInt(e -> peerLoads.running(e.id(), nowNanos)).sum();
+    double lag = Math.max(MEAN_REPORT_AGE_MILLIS, lagMillis(nowNanos));
+    double expectedFromOthers =
+        waiting.evenFill() ? stays.arrivalsWithin(progress.service(), runningByPeers, lag) : 0;
     double draw = RendezvousHash.draw(progress.envelope().requestId(), progress.service());
-    return engines.get(WaterFilling.choose(vessels, unseen, draw));
+    return engines.get(WaterFilling.choose(engineFills, expectedFromOthers, draw));
   }
 
-  private WaterFilling.EngineFill vessel(ServingEngine engine, long nowNanos) {
+  private WaterFilling.EngineFill engineFill(ServingEngine engine, long nowNanos) {
     double capacity =
         Math.max(1, engine.slots()) / slowness(engine, WorkKind.APPLICATION, nowNanos);
-    double besides =
+    double penalty =
         FAILURE_RUN_COST * load(engine).health().failureShare(nowNanos)
             + (engine.zone().equals(zone) ? 0 : OTHER_ZONE_RUN_COST);
-    return new WaterFilling.EngineFill(running(engine, nowNanos) / capacity + besides, capacity);
+    return new WaterFilling.EngineFill(running(engine, nowNanos) / capacity + penalty, capacity);
   }
 
   private static boolean prefills(ServingEngine engine) {
@@ -334,10 +360,12 @@
   }
 
   /**
-   * Engines not tried yet and in good health; when there is none, those merely not leaving, or that
-   * began to leave a short while ago. Never one that rests: a node placed 4 requests within 3 s at
-   * an engine that turned all of them away, since it had the fewest. Nor one whose limit this node
-   * has no part of now, or it gets more from all nodes together than it has room for.
+   * Engines that the request may be sent to. First choice are healthy engines that it was not sent
+   * to yet; if there is none, those that are just not leaving; then those that began to leave a
+   * short while ago. Engines that rest are never included: a node once sent 4 requests within 3 s
+   * to an engine that rejected them all, because it had the least load. Engines whose limit leaves
+   * this node no share now are not included either, since all nodes together would send more than
+   * the engine has room for.
    */
   private List<ServingEngine> candidates(
       RequestProgress progress, Predicate<ServingEngine> fits, long nowNanos) {
@@ -360,26 +388,34 @@
   }
 
   private boolean usable(ServingEngine engine, RequestProgress progress, long nowNanos) {
-    return !progress.hasTried(engine) && healthy(engine, nowNanos) && !isTriedAfterRest(engine);
+    return !progress.hasTried(engine)
+        && healthy(engine, nowNanos)
+        && !awaitsAnswerAfterRest(engine);
   }
 
   private boolean open(ServingEngine engine, long nowNanos) {
     return !rests(engine, nowNanos) && notices.limits().takesRequests(engine.id(), nowNanos);
   }
 
-  /** Whether the engine wants nothing from this node. */
+  /** Whether the engine asked this node to send no requests for now. */
   boolean rests(ServingEngine engine, long nowNanos) {
     return notices.rests(engine.id(), nowNanos);
   }
 
-  /** The first request after a rest tells whether it has ended, before others follow. */
-  private boolean isTriedAfterRest(ServingEngine engine) {
+  /**
+   * Whether the first request after a rest is still unanswered. Its answer shows whether the rest
+   * has ended, so no others follow before.
+   */
+  private boolean awaitsAnswerAfterRest(ServingEngine engine) {
     OptionalLong end = notices.restEnd(engine.id());
     return end.isPresent() && load(engine).awaitsAnswerSince(end.getAsLong());
   }
 
-  /** Until the first of a service's engines takes requests again, where none does now. */
-  Optional<Duration> untilFirstOpens(String service, long nowNanos) {
+  /**
+   * Time until the first engine of a service takes requests again; empty while one takes them now,
+   * or when there is none.
+   */
+  Optional<Duration> timeUntilFirstOpen(String service, long nowNanos) {
     List<ServingEngine> running =
         directory.ofService(service).stream()
             .filter(engine -> !engine.leaving() && !prefills(engine))
@@ -388,11 +424,11 @@
       return Optional.empty();
     }
     return running.stream()
-        .map(engine -> untilOpen(engine, nowNanos))
+        .map(engine -> timeUntilOpen(engine, nowNanos))
         .min(Comparator.naturalOrder());
   }
 
-  private Duration untilOpen(ServingEngine engine, long nowNanos) {
+  private Duration timeUntilOpen(ServingEngine engine, long nowNanos) {
     Duration room = notices.limits().untilNext(engine.id(), nowNanos);
     OptionalLong restEnd = notices.restEnd(engine.id());
     Duration rest = Duration.ofNanos(Math.max(0, restEnd.orElse(nowNanos) - nowNanos));
@@ -406,9 +442,10 @@
   }
 
   /**
-   * The choice of least cost. Equal costs are decided by the request's id, so that nodes do not all
-   * take the same engine.
+   * Returns the choice of least cost. Ties are broken by a hash of the request's id, so that nodes
+   * do not all take the same engine.
    *
+   * @param cost cost of a choice
    * @param engineOf the engine of a choice
    */
   static <T> Optional<T> cheapest(
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ExpectedWork.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ExpectedWork.java
@@ -4,14 +4,15 @@
 import org.fallturn.core.pace.WorkKind;
 
 /**
- * What the present attempt of a request should take at an engine that works as usual, to be
- * compared with what it took.
+ * The time that an attempt should take at an engine of usual pace, to be compared with the time
+ * that it takes.
  *
- * @param kind of work
- * @param work what is compared with each other
- * @param millis the time, up to a factor that is the same for all of the work
- * @param weight what a comparison says, as a part of what work that waits for none says
- * @param forecast what was believed of its engine
+ * @param kind kind of work
+ * @param work name of the group of attempts whose times are compared with each other
+ * @param millis expected time; only its ratio to the times of the same group counts, so it may be
+ *     off by a factor that is the same for the whole group
+ * @param weight weight of the comparison, relative to work that does not wait for other work
+ * @param forecast estimate of the engine's pace when the attempt was sent
  */
 record ExpectedWork(
     WorkKind kind, String work, double millis, double weight, PaceForecast forecast) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
@@ -5,87 +5,99 @@
 import org.fallturn.core.membership.RendezvousHash;
 
 /**
- * Says which requests are refused at once, and when to come back.
+ * Decides which prompts are refused at once under overload, and when their callers should try
+ * again.
  *
- * <p>First, those whose first token is foreseen for after their caller has left, also when they
- * have come back, or their engine has failed: waiting would only take room from others, and its
- * caller is told while it may still go elsewhere. As callers ahead of it may leave, and what is
- * foreseen comes out longer or shorter, it must be well beyond; in doubt it is served. Then those
- * that would wait for long: told when to come back, a caller finds room once the worst is over,
- * where it would else have waited behind all that can be in time. Who has come back is not refused
- * for that again: it has little time left, and waits before those that are new and late. Pure.
+ * <p>Two kinds of prompts are refused. First, prompts whose first token is expected only after
+ * their caller has left, even if the caller has come back after a refusal or an engine has failed:
+ * waiting would take capacity from others, and the caller learns of it while it can still go
+ * elsewhere. The expected time must exceed the remaining time by a margin, since callers ahead may
+ * leave and estimates err in both directions; in doubt the prompt is served. Second, prompts that
+ * would wait for long: a caller that is told when to try again finds capacity once the peak is
+ * over, while waiting it would stay behind all prompts that can be in time. A caller that has come
+ * back is not refused for the second reason again: it has little time left, and its prompt goes
+ * ahead of new prompts that are late. Stateless.
  */
 final class OverloadPolicy {
 
   /**
-   * A request that must wait for more than this part of its caller's time had better come back:
-   * what arrives meanwhile and can be in time goes before it. Other parts were not tried.
+   * A prompt that would wait for more than this part of the remaining time is refused, since
+   * prompts that arrive meanwhile and can be in time go ahead of it.
    */
-  private static final double LONGEST_WAIT_PART = 0.5;
+  private static final double MAX_WAIT_FRACTION = 0.5;
 
   /**
-   * Of its caller's time, when a request is told to come back: callers do not wait for longer than
-   * a third of it.
+   * Callers are told to come back after at most this part of their remaining time: they do not wait
+   * for longer than a third of it.
    */
-  private static final double RETURN_PART = 0.3;
+  private static final double MAX_RETRY_FRACTION = 0.3;
 
-  /** Callers that are told the same do not come back together. */
-  private static final double LEAST_SPREAD = 0.7;
+  /**
+   * The retry delay is spread at random from this part of it to the whole, so that callers that are
+   * refused together do not come back together.
+   */
+  private static final double MIN_RETRY_SPREAD = 0.7;
 
   /**
-   * So many times the time that is left must be foreseen: prompts ahead whose callers leave are not
-   * read.
+   * The expected time must exceed the remaining time by this factor, since the engine does not read
+   * prompts ahead whose callers leave.
    */
-  private static final double FORESEEN_MARGIN = 1.3;
+  private static final double FORECAST_MARGIN = 1.3;
 
   private static final double NANOS_PER_MILLI = 1e6;
 
   private OverloadPolicy() {}
 
-  /** When to come back, for a request that should not be placed now. */
-  static Optional<Duration> refusal(PromptPlacement.Question question, PromptPlacement.Plan plan) {
-    RequestProgress progress = question.progress();
-    long remaining = progress.envelope().remainingNanos(question.nowNanos());
-    boolean read = progress.source().isPresent();
-    if (read || progress.possibleRuns() > 0 || !question.speed().isKnown()) {
+  /**
+   * Returns the retry delay of a request that should be refused now; empty if it should be placed.
+   */
+  static Optional<Duration> refusal(PromptPlacement.Input input, PromptPlacement.Plan plan) {
+    RequestProgress progress = input.progress();
+    long remaining = progress.envelope().remainingNanos(input.nowNanos());
+    boolean alreadyRead = progress.source().isPresent();
+    if (alreadyRead || progress.possibleRuns() > 0 || !input.speed().isKnown()) {
       return Optional.empty();
     }
     boolean refused =
-        readTooLate(question, plan)
-            || question.waiting().refuseForeseen() && beginsTooLate(question, plan)
-            || waits(plan, remaining) && firstTry(progress, question.nowNanos());
-    return refused ? Optional.of(comeBack(question, plan, remaining)) : Optional.empty();
+        readingOutlastsCaller(input, plan)
+            || input.waiting().refuseForeseen() && beginsTooLate(input, plan)
+            || waitsTooLong(plan, remaining) && firstTry(progress, input.nowNanos());
+    return refused ? Optional.of(retryDelay(input, plan, remaining)) : Optional.empty();
   }
 
-  /** When what waits now has been read, as far as the caller waits for it. */
-  private static Duration comeBack(
-      PromptPlacement.Question question, PromptPlacement.Plan plan, long remainingNanos) {
-    RequestEnvelope envelope = question.progress().envelope();
-    double own = question.speed().readMillis(plan.engine().stage(), plan.readTokens());
-    double wait = readTooLate(question, plan) ? plan.millis() : Math.max(0, plan.millis() - own);
-    double most = RETURN_PART * remainingNanos / NANOS_PER_MILLI;
+  /**
+   * The time until the prompts that wait now have been read, limited to a part of the caller's
+   * remaining time.
+   */
+  private static Duration retryDelay(
+      PromptPlacement.Input input, PromptPlacement.Plan plan, long remainingNanos) {
+    RequestEnvelope envelope = input.progress().envelope();
+    double own = input.speed().readMillis(plan.engine().stage(), plan.readTokens());
+    double wait =
+        readingOutlastsCaller(input, plan) ? plan.millis() : Math.max(0, plan.millis() - own);
+    double maxMillis = MAX_RETRY_FRACTION * remainingNanos / NANOS_PER_MILLI;
     double draw = RendezvousHash.draw(envelope.requestId(), plan.engine().id());
-    double millis = Math.min(wait, most) * (LEAST_SPREAD + (1 - LEAST_SPREAD) * draw);
+    double millis = Math.min(wait, maxMillis) * (MIN_RETRY_SPREAD + (1 - MIN_RETRY_SPREAD) * draw);
     return Duration.ofNanos((long) (millis * NANOS_PER_MILLI));
   }
 
-  private static boolean beginsTooLate(
-      PromptPlacement.Question question, PromptPlacement.Plan plan) {
-    long left = question.progress().envelope().remainingToBeginNanos(question.nowNanos());
-    return plan.millis() > FORESEEN_MARGIN * Duration.ofNanos(left).toMillis();
+  private static boolean beginsTooLate(PromptPlacement.Input input, PromptPlacement.Plan plan) {
+    long left = input.progress().envelope().remainingToBeginNanos(input.nowNanos());
+    return plan.millis() > FORECAST_MARGIN * Duration.ofNanos(left).toMillis();
   }
 
-  private static boolean readTooLate(PromptPlacement.Question question, PromptPlacement.Plan plan) {
-    long left = question.progress().envelope().remainingToBeginNanos(question.nowNanos());
+  private static boolean readingOutlastsCaller(
+      PromptPlacement.Input input, PromptPlacement.Plan plan) {
+    long left = input.progress().envelope().remainingToBeginNanos(input.nowNanos());
     double reading =
-        plan.slowness() * question.speed().readMillis(plan.engine().stage(), plan.readTokens());
+        plan.slowness() * input.speed().readMillis(plan.engine().stage(), plan.readTokens());
     return reading > Duration.ofNanos(left).toMillis();
   }
 
-  private static boolean waits(PromptPlacement.Plan plan, long remainingNanos) {
+  private static boolean waitsTooLong(PromptPlacement.Plan plan, long remainingNanos) {
     return plan.urgency().late()
         && plan.aheadTokens() > 0
-        && plan.millis() > LONGEST_WAIT_PART * Duration.ofNanos(remainingNanos).toMillis();
+        && plan.millis() > MAX_WAIT_FRACTION * Duration.ofNanos(remainingNanos).toMillis();
   }
 
   private static boolean firstTry(RequestProgress progress, long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PlacedPrompt.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PlacedPrompt.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Parts of a prompt that an engine reads and is expected to keep.
+ * Parts of a prompt that were sent to an engine, which is expected to keep them in its cache.
  *
- * @param engineId the engine
- * @param readyInMillis when it should have read them
+ * @param engineId id of the engine
+ * @param readyInMillis time until the engine is expected to have read them, in ms
  * @param parts the parts in order
  */
 public record PlacedPrompt(String engineId, int readyInMillis, List<PromptPart> parts) {
 
-  /** A private copy of the parts. */
+  /** Copies the list of parts. */
   public PlacedPrompt {
     parts = List.copyOf(parts);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -13,89 +13,94 @@
 import org.fallturn.core.waiting.WaitingParameters;
 
 /**
- * Chooses how a prompt is read: by a prefill engine whose KV cache a decode engine fetches, or by
- * the decode engine itself; and for each, whether parts that another engine keeps are copied from
- * there. Each way is priced by the time to the first token, in ms: tokens that wait there, tokens
- * to be read, moves of KV cache, distance and health; and by what it costs the fleet to read shared
- * parts again. One thread calls.
+ * Chooses how and where a prompt is read: by a prefill engine whose KV cache a decode engine
+ * fetches, or by the decode engine itself; and in either case, whether parts that another engine
+ * has cached are copied from there. The cost of each way is the expected time to the first token,
+ * in ms (from the tokens that wait at the engine, the tokens to be read, transfers of KV cache,
+ * distance and health), plus what it costs the fleet when shared parts are read again. Only the
+ * dispatch thread calls.
  */
 final class PromptPlacement {
 
-  /** A second call and the start of a move. */
+  /** Time for the second call and for the start of the KV cache transfer. */
   private static final double SECOND_CALL_MILLIS = 8;
 
   private static final double OTHER_ZONE_MILLIS = 3;
 
   /**
-   * Nodes that have not heard of each other's placements yet read a new part at one engine, unless
-   * more tokens wait there than this, over those of another. The earlier 20 ms, where 61 tokens are
-   * read in a ms.
+   * Advantage of the preferred engine for a new shared part, in tokens: nodes that have not learned
+   * of each other's placements yet all read the part there, unless this many more tokens wait there
+   * than at another engine. 1,200 tokens take 20 ms where 61 are read per ms.
    */
-  private static final double HOME_TOKENS = 1_200;
+  private static final double PREFERRED_ENGINE_TOKENS = 1_200;
 
   /**
-   * An engine of which every answer fails costs so many times the route's target: the earlier 300
-   * ms, where the target is 500.
+   * Cost of an engine that fails every answer, as a multiple of the route's target latency: 300 ms
+   * for a target of 500 ms.
    */
-  private static final double FAILURE_TARGETS = 0.6;
+  private static final double FAILURE_COST_FACTOR = 0.6;
 
   /**
-   * A request that runs holds up a new one for as long as so many tokens take to be read: the
-   * earlier 0.3 ms, where 61 are read in a ms.
+   * A running request delays a new one by the time that this many tokens take to be read: 0.3 ms
+   * where 61 are read per ms.
    */
-  private static final double RUNNING_TOKENS = 18;
+  private static final double RUNNING_REQUEST_TOKENS = 18;
 
   /**
-   * Price of reading a token again that an engine keeps, beside the time it takes, as its part: the
-   * earlier 0.02 ms, where 61 are read in a ms.
+   * Cost of reading a token that another engine has cached, in addition to the reading time and as
+   * a multiple of it: 0.02 ms where 61 are read per ms.
    */
-  private static final double READ_AGAIN_PART = 1.2;
+  private static final double READ_AGAIN_FACTOR = 1.2;
 
   /**
-   * Prompts whose shared parts are shorter are spread by request, since reading the part twice
-   * costs little: the length below which parts are not copied either.
+   * Prompts whose shared parts are shorter than this are spread over engines by request, because
+   * reading such a part twice costs little. Shorter parts are not copied either.
    */
   private static final int MIN_ORDERED_TOKENS = EngineSelector.MIN_COPIED_TOKENS;
 
   private final EngineSelector selector;
   private final String zone;
 
-  /** Part of the longest pause between events that reading may take up; steps need the rest. */
-  private static final double READING_SHARE_OF_PAUSE = 0.5;
+  /**
+   * Fraction of the longest allowed pause between events that reading may take up; decode steps
+   * need the rest.
+   */
+  private static final double READING_FRACTION_OF_PAUSE = 0.5;
 
   /**
-   * Of the time that a prompt is read at a decode engine, what it costs each stream there: a part
-   * only, since a stream is late by a pause that is too long and not by each delay. Round t7 of
-   * docs/experiments/further.md; other parts were not tried.
+   * Cost to each stream of a decode engine that reads a prompt, as a fraction of the reading time.
+   * It is only a fraction because a stream is late when one pause is too long, not whenever it is
+   * delayed.
    */
-  private static final double SLOWED_PART = 0.2;
+  private static final double STREAM_DELAY_FRACTION = 0.2;
 
   /**
-   * Streams that are taken to run at a decode engine at least, since short answers are not counted
-   * one by one: the factor with which round 10 of docs/experiments/platform.md was measured; others
-   * were not tried.
+   * At least this many streams are assumed to run at a decode engine, because streams with short
+   * answers are not counted.
    */
-  private static final int LEAST_STREAMS = 3;
+  private static final int MIN_STREAMS = 3;
 
   /**
-   * What each stream of an engine is worth to a long answer that might run beside it, in ms: ten
-   * streams outweigh a zone's distance. Round t7; other figures were not tried.
+   * Advantage of an engine for a long answer, in ms for each stream that already runs there: ten
+   * streams outweigh the distance to another zone.
    */
-  private static final double PACKED_MILLIS = 0.5;
+  private static final double MILLIS_PER_STREAM = 0.5;
 
   /**
-   * Room for times that come out longer than expected. Under a backlog the ninth tenth of the real
-   * times was 1.25 times that of the expected ones at prefill engines
-   * (docs/experiments/further.md); other margins were not tried.
+   * Safety factor for times that turn out longer than expected. Under a backlog, the ninth decile
+   * of the actual times at prefill engines was 1.25 times that of the expected ones.
    */
   private static final double IN_TIME_MARGIN = 1.2;
 
-  /** Real times may be so much of those expected; in doubt a prompt keeps its place. */
-  private static final double SURELY_LATE_PART = 0.6;
+  /**
+   * The actual time may be as short as this fraction of the expected one; a prompt that could then
+   * still be in time keeps its place.
+   */
+  private static final double SURELY_LATE_FRACTION = 0.6;
 
   /**
-   * What is late goes behind all others only while that would leave it half of its caller's time:
-   * more that go before it may come.
+   * A late prompt goes behind all others only if its expected time, multiplied by this factor, is
+   * within its caller's remaining time: more prompts that go ahead of it may arrive.
    */
   private static final double YIELDING_MARGIN = 2;
 
@@ -104,16 +109,16 @@
   private static final double PERCENT = 100;
 
   /**
-   * An engine and what is to be done there.
+   * One way to place the prompt.
    *
    * @param engine the engine
-   * @param prefill whether it only reads the prompt
-   * @param fetchFrom engine whose cached parts are copied first
-   * @param readTokens tokens it has to read
-   * @param aheadTokens tokens that wait there before
-   * @param urgency order among the engine's requests
-   * @param millis expected time to the first token
-   * @param cost the time and what else it costs, in ms
+   * @param prefill whether the engine only reads the prompt
+   * @param fetchFrom engine from which it first copies cached parts; empty when it copies none
+   * @param readTokens prompt tokens that the engine has to read
+   * @param aheadTokens prompt tokens that the engine reads before them
+   * @param urgency urgency among the engine's requests
+   * @param millis expected time to the first token, in ms
+   * @param cost the expected time plus other costs, in ms
    * @param slowness factor by which reading takes longer there than usual
    */
   record Plan(
@@ -134,11 +139,17 @@
   }
 
   /**
-   * What one choice is made from.
+   * The input of one choice.
    *
-   * @param waiting which decisions on competing requests are made
+   * @param progress state of the request
+   * @param prompt size and parts of the prompt
+   * @param speed reading speed of the service's engines
+   * @param profile profile of the service's engines; empty when it is not known
+   * @param holders engines from which parts of the prompt can be copied
+   * @param waiting how requests that compete for capacity are handled
+   * @param nowNanos the present time
    */
-  record Question(
+  record Input(
       RequestProgress progress,
       PromptShape prompt,
       PrefillSpeed speed,
@@ -151,14 +162,14 @@
       return progress.envelope().route();
     }
 
-    /** Whether an answer that begins so many ms from now begins in time. */
+    /** Whether an answer that is expected to begin after the given time, in ms, begins in time. */
     boolean inTime(double millis) {
       return age() + IN_TIME_MARGIN * millis <= target();
     }
 
-    /** Whether it begins too late also when it takes much less time than expected. */
+    /** Whether the answer begins too late even if it takes much less time than expected. */
     boolean surelyLate(double millis) {
-      return age() + SURELY_LATE_PART * millis > target();
+      return age() + SURELY_LATE_FRACTION * millis > target();
     }
 
     private double age() {
@@ -170,11 +181,24 @@
     }
   }
 
-  /** What goes before a request at an engine, and how long it takes with that. */
-  private record Wait(Urgency urgency, long aheadTokens, double millis) {}
+  /**
+   * Estimated wait at an engine.
+   *
+   * @param urgency urgency with which the prompt is sent
+   * @param aheadTokens prompt tokens that the engine reads before it
+   * @param millis time to the first token that results, in ms
+   */
+  private record QueueWait(Urgency urgency, long aheadTokens, double millis) {}
 
-  /** How an engine comes by the beginning of a prompt. */
-  private record Reading(
+  /**
+   * How an engine obtains the prompt.
+   *
+   * @param fetchFrom engine from which it first copies cached parts; empty when it copies none
+   * @param readTokens tokens that it reads itself
+   * @param fetchMillis time that the copy takes, in ms
+   * @param readAgain tokens among those read that another engine has cached or will soon have
+   */
+  private record ReadPlan(
       Optional<ServingEngine> fetchFrom, int readTokens, double fetchMillis, int readAgain) {}
 
   PromptPlacement(EngineSelector selector, String zone) {
@@ -182,71 +206,73 @@
     this.zone = zone;
   }
 
-  /** The best way; empty when no engine can take the prompt. */
-  Optional<Plan> choose(Question question, boolean mayPrefill) {
+  /**
+   * Returns the placement of least cost; empty when no engine can take the prompt.
+   *
+   * @param mayPrefill whether a prefill engine may read the prompt
+   */
+  Optional<Plan> choose(Input input, boolean mayPrefill) {
     Optional<Plan> direct =
         cheapest(
-            question,
-            selector.runCandidates(question.progress(), question.nowNanos()),
-            engine -> runPlan(question, engine),
+            input,
+            selector.runCandidates(input.progress(), input.nowNanos()),
+            engine -> runPlan(input, engine),
             Optional.empty());
     if (!mayPrefill) {
       return direct;
     }
-    List<ServingEngine> candidates =
-        selector.prefillCandidates(question.progress(), question.nowNanos());
-    Optional<ServingEngine> home = selector.home(question.prompt(), candidates);
-    Optional<Plan> ahead =
-        cheapest(question, candidates, engine -> prefillPlan(question, engine), home);
-    if (direct.isEmpty() || ahead.isEmpty()) {
-      return direct.or(() -> ahead);
+    List<ServingEngine> candidates = selector.prefillCandidates(input.progress(), input.nowNanos());
+    Optional<ServingEngine> homeEngine = selector.homeEngine(input.prompt(), candidates);
+    Optional<Plan> prefill =
+        cheapest(input, candidates, engine -> prefillPlan(input, engine), homeEngine);
+    if (direct.isEmpty() || prefill.isEmpty()) {
+      return direct.or(() -> prefill);
     }
-    return ahead.get().cost() < direct.get().cost() ? ahead : direct;
+    return prefill.get().cost() < direct.get().cost() ? prefill : direct;
   }
 
-  private Plan prefillPlan(Question question, ServingEngine engine) {
+  private Plan prefillPlan(Input input, ServingEngine engine) {
     Function<Long, Double> readMillis =
-        tokens -> slowness(question, engine) * question.speed().prefillMillis(tokens);
-    Reading reading = bestReading(question, engine, readMillis);
-    double besides =
+        tokens -> slowness(input, engine) * input.speed().prefillMillis(tokens);
+    ReadPlan reading = bestReading(input, engine, readMillis);
+    double otherMillis =
         reading.fetchMillis()
-            + CacheCopyTime.moveMillis(question.prompt().promptTokens(), question.profile())
+            + CacheCopyTime.moveMillis(input.prompt().promptTokens(), input.profile())
             + SECOND_CALL_MILLIS
-            + cacheWaitMillis(question, engine, selector.running(engine, question.nowNanos()))
-            + commonMillis(question, engine, zone);
-    Wait wait =
+            + cacheWaitMillis(input, engine, selector.running(engine, input.nowNanos()))
+            + commonMillis(input, engine, zone);
+    QueueWait wait =
         waitFor(
-            question, engine, ahead -> readMillis.apply(ahead + reading.readTokens()) + besides);
-    return plan(question, engine, true, reading, wait, 0);
+            input, engine, ahead -> readMillis.apply(ahead + reading.readTokens()) + otherMillis);
+    return plan(input, engine, true, reading, wait, 0);
   }
 
   /**
-   * Among those that can be answered in time when it can be so itself, else behind them. One that
-   * has waited through a refusal goes before those that are new and late.
+   * Estimates the wait of a prompt and chooses its urgency. A prompt that can be in time goes among
+   * those that can; any other goes behind them. A prompt whose caller has come back after a refusal
+   * goes before new prompts that are late.
    *
-   * @param millis time to the first token by the tokens that go before
+   * @param millis function from the tokens that go before the prompt to its time to the first token
    */
-  private Wait waitFor(Question question, ServingEngine engine, LongToDoubleFunction millis) {
-    if (question.progress().source().isPresent()) {
-      return wait(question, engine, millis, Urgency.READ);
+  private QueueWait waitFor(Input input, ServingEngine engine, LongToDoubleFunction millis) {
+    if (input.progress().source().isPresent()) {
+      return wait(input, engine, millis, Urgency.READ);
     }
-    Wait inTime = wait(question, engine, millis, Urgency.IN_TIME);
-    RequestEnvelope envelope = question.progress().envelope();
+    QueueWait inTime = wait(input, engine, millis, Urgency.IN_TIME);
+    RequestEnvelope envelope = input.progress().envelope();
     boolean returned =
-        question.waiting().refuseForeseen() && envelope.hasReturned(envelope.arrivedNanos());
-    return returned || question.inTime(inTime.millis())
-        ? inTime
-        : waitLate(question, engine, millis);
+        input.waiting().refuseForeseen() && envelope.hasReturned(envelope.arrivedNanos());
+    return returned || input.inTime(inTime.millis()) ? inTime : waitLate(input, engine, millis);
   }
 
-  private Wait waitLate(Question question, ServingEngine engine, LongToDoubleFunction millis) {
-    RequestEnvelope envelope = question.progress().envelope();
-    Wait late = wait(question, engine, millis, Urgency.LATE);
-    if (question.waiting().lateYields()
+  private QueueWait waitLate(Input input, ServingEngine engine, LongToDoubleFunction millis) {
+    RequestEnvelope envelope = input.progress().envelope();
+    QueueWait late = wait(input, engine, millis, Urgency.LATE);
+    if (input.waiting().lateYields()
         && Urgency.canYield(envelope.rank())
-        && question.surelyLate(late.millis())) {
-      Wait yielding = wait(question, engine, millis, Urgency.YIELDING);
-      double left = envelope.remainingToBeginNanos(question.nowNanos()) / NANOS_PER_MILLI;
+        && input.surelyLate(late.millis())) {
+      QueueWait yielding = wait(input, engine, millis, Urgency.YIELDING);
+      double left = envelope.remainingToBeginNanos(input.nowNanos()) / NANOS_PER_MILLI;
       if (YIELDING_MARGIN * yielding.millis() <= left) {
         return yielding;
       }
@@ -254,81 +280,83 @@
     return late;
   }
 
-  private Wait wait(
-      Question question, ServingEngine engine, LongToDoubleFunction millis, Urgency urgency) {
-    int level = urgency.level(question.progress().envelope().rank());
-    long ahead = selector.aheadTokens(engine, level, question.nowNanos());
-    return new Wait(urgency, ahead, millis.applyAsDouble(ahead));
+  private QueueWait wait(
+      Input input, ServingEngine engine, LongToDoubleFunction millis, Urgency urgency) {
+    int level = urgency.level(input.progress().envelope().rank());
+    long ahead = selector.aheadTokens(engine, level, input.nowNanos());
+    return new QueueWait(urgency, ahead, millis.applyAsDouble(ahead));
   }
 
-  private Plan runPlan(Question question, ServingEngine engine) {
-    Optional<CacheSource> source = question.progress().source();
-    String near = source.map(from -> from.engine().zone()).orElse(zone);
+  private Plan runPlan(Input input, ServingEngine engine) {
+    Optional<CacheSource> source = input.progress().source();
+    String nearZone = source.map(from -> from.engine().zone()).orElse(zone);
     Function<Long, Double> readMillis =
-        tokens -> slowness(question, engine) * question.speed().decodeMillis(tokens);
-    Reading reading =
+        tokens -> slowness(input, engine) * input.speed().decodeMillis(tokens);
+    ReadPlan reading =
         source.isPresent()
-            ? handedOver(question, engine, source.get())
-            : bestReading(question, engine, readMillis);
-    int running = selector.running(engine, question.nowNanos());
-    double besides =
+            ? fetchFromSource(input, engine, source.get())
+            : bestReading(input, engine, readMillis);
+    int running = selector.running(engine, input.nowNanos());
+    double otherMillis =
         reading.fetchMillis()
-            + RUNNING_TOKENS * question.speed().tokenMillis() * running
-            + crowdedMillis(question, engine, running)
-            + cacheWaitMillis(question, engine, running)
-            + commonMillis(question, engine, near);
-    Wait wait =
+            + RUNNING_REQUEST_TOKENS * input.speed().tokenMillis() * running
+            + slotWaitMillis(input, engine, running)
+            + cacheWaitMillis(input, engine, running)
+            + commonMillis(input, engine, nearZone);
+    QueueWait wait =
         waitFor(
-            question, engine, ahead -> readMillis.apply(ahead + reading.readTokens()) + besides);
-    int streams = selector.streams(engine, question.nowNanos());
-    double harm = harmMillis(question, engine, reading, streams);
-    return plan(question, engine, false, reading, wait, harm - packedMillis(question, streams));
+            input, engine, ahead -> readMillis.apply(ahead + reading.readTokens()) + otherMillis);
+    int streams = selector.streams(engine, input.nowNanos());
+    double streamCost = streamCostMillis(input, engine, reading, streams);
+    return plan(
+        input, engine, false, reading, wait, streamCost - concentrationMillis(input, streams));
   }
 
-  private double slowness(Question question, ServingEngine engine) {
-    return selector.slowness(engine, WorkKind.READING, question.nowNanos());
+  private double slowness(Input input, ServingEngine engine) {
+    return selector.slowness(engine, WorkKind.READING, input.nowNanos());
   }
 
-  /** What reading the prompt here costs the streams of the engine. */
-  private double harmMillis(Question question, ServingEngine engine, Reading reading, int streams) {
+  /** What reading the prompt at this engine costs its streams, in ms. */
+  private double streamCostMillis(
+      Input input, ServingEngine engine, ReadPlan reading, int streams) {
     if (reading.readTokens() == 0) {
       return 0;
     }
-    long backlog = selector.backlogTokens(engine, question.nowNanos());
-    double slowed = SLOWED_PART * question.speed().decodeMillis(reading.readTokens());
-    double delayed = delayMillis(question, backlog, reading);
-    return streams * slowed + Math.max(LEAST_STREAMS, streams) * delayed;
+    long backlog = selector.backlogTokens(engine, input.nowNanos());
+    double slowed = STREAM_DELAY_FRACTION * input.speed().decodeMillis(reading.readTokens());
+    double delayed = delayMillis(input, backlog, reading);
+    return streams * slowed + Math.max(MIN_STREAMS, streams) * delayed;
   }
 
   /**
-   * Long answers go where others run already, so that other engines can read prompts between the
-   * tokens of few.
+   * Advantage of engines that already run streams, for long answers. Concentrating long answers
+   * lets other engines read prompts between the tokens of few streams.
    */
-  private static double packedMillis(Question question, int streams) {
-    return question.prompt().longAnswer() ? PACKED_MILLIS * streams : 0;
+  private static double concentrationMillis(Input input, int streams) {
+    return input.prompt().longAnswer() ? MILLIS_PER_STREAM * streams : 0;
   }
 
   /**
-   * By how much reading the prompt here would stretch the pauses of the streams that run here
-   * beyond what they may be: a decode engine reads between the tokens of its streams.
+   * By how much reading the prompt here would stretch the pauses of the engine's streams beyond the
+   * allowed gap, in ms: a decode engine reads between the tokens of its streams.
    */
-  private static double delayMillis(Question question, long backlog, Reading reading) {
-    long longest = question.progress().envelope().route().eventGapTarget().toNanos();
-    if (longest == 0) {
+  private static double delayMillis(Input input, long backlog, ReadPlan reading) {
+    long maxGapNanos = input.progress().envelope().route().eventGapTarget().toNanos();
+    if (maxGapNanos == 0) {
       return 0;
     }
-    double stretch = question.speed().decodeMillis(backlog + reading.readTokens());
-    return Math.max(0, stretch - READING_SHARE_OF_PAUSE * longest / NANOS_PER_MILLI);
+    double stretch = input.speed().decodeMillis(backlog + reading.readTokens());
+    return Math.max(0, stretch - READING_FRACTION_OF_PAUSE * maxGapNanos / NANOS_PER_MILLI);
   }
 
   private Plan plan(
-      Question question,
+      Input input,
       ServingEngine engine,
       boolean prefill,
-      Reading reading,
-      Wait wait,
-      double harm) {
-    double cost = wait.millis() + readAgainMillis(question, reading.readAgain()) + harm;
+      ReadPlan reading,
+      QueueWait wait,
+      double streamCost) {
+    double cost = wait.millis() + readAgainMillis(input, reading.readAgain()) + streamCost;
     return new Plan(
         engine,
         prefill,
@@ -338,129 +366,140 @@
         wait.urgency(),
         wait.millis(),
         cost,
-        slowness(question, engine));
+        slowness(input, engine));
   }
 
-  private static Reading handedOver(Question question, ServingEngine engine, CacheSource source) {
+  private static ReadPlan fetchFromSource(Input input, ServingEngine engine, CacheSource source) {
     double millis =
         CacheCopyTime.copyMillis(
-            question.prompt().promptTokens(), source.engine(), engine, question.profile());
-    return new Reading(Optional.empty(), 0, millis, 0);
+            input.prompt().promptTokens(), source.engine(), engine, input.profile());
+    return new ReadPlan(Optional.empty(), 0, millis, 0);
   }
 
-  /** Reads what the engine does not keep, or copies from whoever keeps more when that is faster. */
-  private Reading bestReading(
-      Question question, ServingEngine engine, Function<Long, Double> readMillis) {
-    PromptShape prompt = question.prompt();
-    int own = selector.uncachedTokens(engine, prompt);
-    Optional<PrefixHolders.Holder> holder = question.holders().sourceFor(engine);
-    int again = readAgain(question, own);
+  /**
+   * Returns whether the engine reads all that it does not have cached, or first copies from an
+   * engine that has more of the prompt, whichever costs less.
+   */
+  private ReadPlan bestReading(
+      Input input, ServingEngine engine, Function<Long, Double> readMillis) {
+    PromptShape prompt = input.prompt();
+    int uncached = selector.uncachedTokens(engine, prompt);
+    Optional<PrefixHolders.Holder> holder = input.holders().sourceFor(engine);
+    int again = readAgain(input, uncached);
     if (holder.isEmpty()) {
-      return new Reading(Optional.empty(), own, 0, again);
+      return new ReadPlan(Optional.empty(), uncached, 0, again);
     }
     ServingEngine from = holder.get().engine();
     int afterCopy = Math.max(0, prompt.promptTokens() - holder.get().tokens());
-    int copied = own - afterCopy;
+    int copied = uncached - afterCopy;
     if (copied <= 0) {
-      return new Reading(Optional.empty(), own, 0, again);
+      return new ReadPlan(Optional.empty(), uncached, 0, again);
     }
-    double copyMillis = CacheCopyTime.copyMillis(copied, from, engine, question.profile());
-    if (copyMillis < readMillis.apply((long) copied) + readAgainMillis(question, copied)) {
-      return new Reading(Optional.of(from), afterCopy, copyMillis, 0);
+    double copyMillis = CacheCopyTime.copyMillis(copied, from, engine, input.profile());
+    if (copyMillis < readMillis.apply((long) copied) + readAgainMillis(input, copied)) {
+      return new ReadPlan(Optional.of(from), afterCopy, copyMillis, 0);
     }
-    return new Reading(Optional.empty(), own, 0, again);
+    return new ReadPlan(Optional.empty(), uncached, 0, again);
   }
 
-  private static double readAgainMillis(Question question, int tokens) {
-    return READ_AGAIN_PART * question.speed().tokenMillis() * tokens;
+  private static double readAgainMillis(Input input, int tokens) {
+    return READ_AGAIN_FACTOR * input.speed().tokenMillis() * tokens;
   }
 
-  /** Of the tokens to be read, those that another engine keeps or is about to have read. */
-  private static int readAgain(Question question, int own) {
-    int newTokens = question.prompt().promptTokens() - question.holders().soonTokens();
-    return Math.max(0, own - Math.max(0, newTokens));
+  /**
+   * Of the tokens to be read, those that another engine has cached or is about to have read.
+   *
+   * @param own tokens that the engine would have to read without a copy
+   */
+  private static int readAgain(Input input, int uncached) {
+    int newTokens = input.prompt().promptTokens() - input.holders().soonTokens();
+    return Math.max(0, uncached - Math.max(0, newTokens));
   }
 
   /**
-   * Past its slots a request waits for another to end. One whose prompt has been read can only go
-   * to an engine of this kind, and goes where slots come free soonest: one does each time in which
-   * a request runs, divided by the slots. That price for others would send them to be read ahead,
-   * to engines that may be the shorter ones.
+   * Time for which a request beyond the engine's slots waits for another to end, in ms. A prompt
+   * that has been read can only go to a decode engine, and should go where slots become free
+   * soonest: one does in each service time divided by the number of slots. Charging this to prompts
+   * that are still to be read would send them to prefill engines, which may be the scarcer ones.
    */
-  private double crowdedMillis(Question question, ServingEngine engine, int running) {
+  private double slotWaitMillis(Input input, ServingEngine engine, int running) {
     int over = Math.max(0, running + 1 - engine.slots());
-    if (over == 0 || question.progress().source().isEmpty()) {
+    if (over == 0 || input.progress().source().isEmpty()) {
       return over * SECOND_CALL_MILLIS;
     }
-    double stay = selector.stays().workMillis(question.progress().service()).orElse(0);
-    double slowness = selector.slowness(engine, WorkKind.DECODING, question.nowNanos());
+    double stay = selector.stays().workMillis(input.progress().service()).orElse(0);
+    double slowness = selector.slowness(engine, WorkKind.DECODING, input.nowNanos());
     return over * Math.max(SECOND_CALL_MILLIS, slowness * stay / Math.max(1, engine.slots()));
   }
 
-  /** Beyond the KV cache a request waits too, or evicts what is less urgent. */
-  private double cacheWaitMillis(Question question, ServingEngine engine, int running) {
-    if (question.profile().isEmpty() || !question.waiting().cacheRoom()) {
+  /**
+   * Time for which a request waits because the KV cache of the engine is full, in ms; it would
+   * wait, or evict a less urgent one.
+   */
+  private double cacheWaitMillis(Input input, ServingEngine engine, int running) {
+    if (input.profile().isEmpty() || !input.waiting().cacheRoom()) {
       return 0;
     }
     return KvCacheWait.waitMillis(
         running,
-        selector.cacheTokens(engine, question.nowNanos()),
+        selector.cacheTokens(engine, input.nowNanos()),
         engine.slots(),
-        question.progress().cacheTokens(),
-        question.profile().get().cacheTokens(),
-        selector.stays().workMillis(question.progress().service()).orElse(0));
+        input.progress().cacheTokens(),
+        input.profile().get().cacheTokens(),
+        selector.stays().workMillis(input.progress().service()).orElse(0));
   }
 
-  private double commonMillis(Question question, ServingEngine engine, String near) {
-    double target = question.route().targetLatency().toNanos() / NANOS_PER_MILLI;
-    return (engine.zone().equals(near) ? 0 : OTHER_ZONE_MILLIS)
-        + FAILURE_TARGETS
+  private double commonMillis(Input input, ServingEngine engine, String nearZone) {
+    double target = input.route().targetLatency().toNanos() / NANOS_PER_MILLI;
+    return (engine.zone().equals(nearZone) ? 0 : OTHER_ZONE_MILLIS)
+        + FAILURE_COST_FACTOR
             * target
-            * selector.load(engine).health().failureShare(question.nowNanos());
+            * selector.load(engine).health().failureShare(input.nowNanos());
   }
 
-  private static double preference(Question question, Plan plan, Optional<ServingEngine> home) {
-    boolean isHome = home.filter(first -> first.id().equals(plan.engine().id())).isPresent();
-    return isHome ? HOME_TOKENS * question.speed().tokenMillis() : 0;
+  private static double preference(Input input, Plan plan, Optional<ServingEngine> homeEngine) {
+    boolean isHome = homeEngine.filter(first -> first.id().equals(plan.engine().id())).isPresent();
+    return isHome ? PREFERRED_ENGINE_TOKENS * input.speed().tokenMillis() : 0;
   }
 
   private Optional<Plan> cheapest(
-      Question question,
+      Input input,
       List<ServingEngine> engines,
       Function<ServingEngine, Plan> planFor,
-      Optional<ServingEngine> home) {
+      Optional<ServingEngine> homeEngine) {
     List<Plan> plans = engines.stream().map(planFor).toList();
-    double spread = spreadMillis(question, plans);
+    double spread = spreadMillis(input, plans);
     return EngineSelector.cheapest(
         plans.stream(),
         plan ->
             plan.cost()
-                - preference(question, plan, home)
-                + spread * place(question, plan.engine()),
+                - preference(input, plan, homeEngine)
+                + spread * orderPosition(input, plan.engine()),
         Plan::engine,
-        question.progress());
+        input.progress());
   }
 
   /**
-   * By how much plans are told apart that differ by less than what is not known yet: else all nodes
-   * take the engine that was the least loaded a moment ago. What others place before it is known
-   * here keeps an engine busy for the lag at the most, where engines are busy at all.
+   * Range of the random spread over plans, in ms. Plans whose costs differ by less than this node
+   * can know are told apart by the spread; otherwise all nodes would take the engine that was least
+   * loaded a moment ago. Requests that others have placed and this node does not know of keep an
+   * engine busy for at most the reporting lag, if engines are busy at all.
    */
-  private double spreadMillis(Question question, List<Plan> plans) {
+  private double spreadMillis(Input input, List<Plan> plans) {
     long busy = plans.stream().filter(plan -> plan.aheadTokens() > 0).count();
-    return plans.isEmpty() ? 0 : selector.lagMillis(question.nowNanos()) * busy / plans.size();
+    return plans.isEmpty() ? 0 : selector.lagMillis(input.nowNanos()) * busy / plans.size();
   }
 
   /**
-   * The place of an engine in a prompt's own order of engines, from 0 to 1. Prompts with the same
-   * long shared part have the same order at all nodes, so that the part is read at few engines.
+   * Position of an engine in the prompt's own order of engines, from 0 to 1. Prompts with the same
+   * long shared part have the same order at all nodes, so that the part is read by few engines.
    */
-  private static double place(Question question, ServingEngine engine) {
-    PromptShape prompt = question.prompt();
+  private static double orderPosition(Input input, ServingEngine engine) {
+    PromptShape prompt = input.prompt();
     String key =
         prompt.sharedTokens() >= MIN_ORDERED_TOKENS
             ? prompt.lastSharedPart().map(PromptPart::id).orElseThrow()
-            : question.progress().envelope().requestId();
+            : input.progress().envelope().requestId();
     return RendezvousHash.draw(key, engine.id());
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptSizes.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptSizes.java
@@ -3,68 +3,86 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long the prompts of one service are, as this node sees them. An engine reads a prompt to its
- * end before it takes the next, so that the lengths say how long it may be busy with one. One
- * thread calls.
+ * Statistics of the prompt lengths of one service, as this node sees them. An engine reads a prompt
+ * to its end before it begins the next, so the lengths tell how long one prompt may keep it busy.
+ * Not thread-safe.
  */
 final class PromptSizes {
 
-  /** Longer than any prompt is read; the longest is remembered for one to two of these. */
+  /**
+   * Longer than reading any prompt takes. The longest prompt is remembered for one to two of these
+   * windows.
+   */
   private static final long WINDOW_NANOS = TimeUnit.SECONDS.toNanos(15);
 
-  /** Weight of one prompt in the means: some hundred of them are remembered. */
+  /** Weight of one prompt in the moving averages, which thus cover about a hundred prompts. */
   private static final double SMOOTHING = 0.01;
 
-  private long beganNanos;
-  private long longest;
-  private long longestBefore;
+  private long windowStartNanos;
+  private long longestInWindow;
+  private long longestInLastWindow;
   private double meanRead;
   private double meanSquareRead;
-  private double meanCache;
+  private double meanCacheTokens;
 
-  /** A prompt of so many tokens was placed, by this node or another. */
+  /**
+   * Records a prompt that this node or another has placed.
+   *
+   * @param tokens its length
+   */
   void onPrompt(long tokens, long nowNanos) {
-    turn(nowNanos);
-    longest = Math.max(longest, tokens);
+    rollWindow(nowNanos);
+    longestInWindow = Math.max(longestInWindow, tokens);
   }
 
-  /** A request that was placed holds so many tokens of KV cache when it runs. */
+  /**
+   * Records a request that this node has placed.
+   *
+   * @param tokens tokens of KV cache that it occupies while it runs
+   */
   void onCache(long tokens) {
-    meanCache += (meanCache == 0 ? 1 : SMOOTHING) * (tokens - meanCache);
+    meanCacheTokens += (meanCacheTokens == 0 ? 1 : SMOOTHING) * (tokens - meanCacheTokens);
   }
 
-  /** Tokens that one request holds, on average. */
-  double meanCache() {
-    return meanCache;
+  /** Average number of tokens of KV cache that one request occupies. */
+  double meanCacheTokens() {
+    return meanCacheTokens;
   }
 
-  /** So many tokens of a prompt have to be read, since no part of the others is kept. */
+  /**
+   * Records a prompt that an engine has to read.
+   *
+   * @param tokens its tokens that the engine does not have cached
+   */
   void onRead(long tokens) {
     double weight = meanRead == 0 ? 1 : SMOOTHING;
     meanRead += weight * (tokens - meanRead);
     meanSquareRead += weight * ((double) tokens * tokens - meanSquareRead);
   }
 
-  /** The longest prompt lately; 0 when there was none. */
+  /**
+   * Length of the longest prompt of the last one to two windows, in tokens; 0 when there was none.
+   */
   long longest(long nowNanos) {
-    turn(nowNanos);
-    return Math.max(longest, longestBefore);
+    rollWindow(nowNanos);
+    return Math.max(longestInWindow, longestInLastWindow);
   }
 
   /**
-   * Tokens that are left, on average, of the prompt that a busy engine reads: long ones are met
-   * more often than short ones, in the middle of their reading.
+   * Expected number of tokens left to read of the prompt that a busy engine is reading: the mean
+   * residual length, E[X^2] / (2 E[X]). A long prompt is more likely than a short one to be the one
+   * being read, and half of it is left on average.
    */
-  double leftOfOne() {
+  double meanResidualTokens() {
     return meanRead == 0 ? 0 : meanSquareRead / meanRead / 2;
   }
 
-  private void turn(long nowNanos) {
-    if (nowNanos - beganNanos < WINDOW_NANOS) {
+  private void rollWindow(long nowNanos) {
+    if (nowNanos - windowStartNanos < WINDOW_NANOS) {
       return;
     }
-    longestBefore = nowNanos - beganNanos < 2 * WINDOW_NANOS ? longest : 0;
-    longest = 0;
-    beganNanos = nowNanos;
+    longestInLastWindow = nowNanos - windowStartNanos < 2 * WINDOW_NANOS ? longestInWindow : 0;
+    longestInWindow = 0;
+    windowStartNanos = nowNanos;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RefusalCause.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RefusalCause.java
@@ -1,27 +1,30 @@
 package org.fallturn.core.dispatch;
 
-/** Why a request is answered with an error of this node; the closed list that figures go by. */
+/**
+ * Why this node answers a request with an error of its own. The list is closed; metrics and logs
+ * count refusals by it.
+ */
 public enum RefusalCause {
-  /** Its first token is foreseen for too late. */
+  /** The first token is expected too late. */
   FORESEEN,
-  /** No engine has room for it in its time. */
+  /** No engine is expected to have room for the request before its deadline. */
   NO_ROOM,
-  /** What waits at this node has filled its memory. */
+  /** Waiting requests have filled the memory that this node allows them. */
   MEMORY_FULL,
-  /** Its time ran out while it waited at this node. */
+  /** The deadline passed, or came too close to be met, while the request was at this node. */
   TIME_OVER,
-  /** No engine is there. */
+  /** The service has no engine that the request could be sent to. */
   NO_ENGINE,
-  /** Each engine that is there turned it away. */
+  /** Every engine that the request was sent to rejected it without running it. */
   TURNED_AWAY,
-  /** Each engine rests, or has no room within its limit. */
+  /** Every engine rests, or has reached its limit. */
   CLOSED,
-  /** It may not be sent again. */
+  /** The retry budget does not allow another send. */
   RETRY_BUDGET,
-  /** This node stops. */
+  /** This node is stopping. */
   STOPPING,
-  /** An engine may have run it. */
+  /** An engine may have run the request. */
   OUTCOME_UNKNOWN,
-  /** Engines crash under it. */
+  /** The content of the request is quarantined because engines crash under it. */
   QUARANTINED
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Refusals.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Refusals.java
@@ -6,25 +6,33 @@
 import org.fallturn.core.membership.RendezvousHash;
 
 /**
- * How a request is answered that no engine answers.
+ * Builds the answers to requests that no engine answers.
  *
- * <p>Invariant: it is called not run only when no engine can have run it. One thread calls.
+ * <p>Invariant: an answer says that a request was not run only when no engine can have run it. Only
+ * the dispatch thread calls.
  */
 final class Refusals {
 
   /**
-   * How much later the next less urgent callers come back to engines that take none now: about the
-   * time in which the first request tells whether the rest has ended. Judged, not measured.
+   * While no engine takes requests, callers of each lower rank are told to come back this much
+   * later than those of the rank before: about the time in which the first request shows whether
+   * the engine's rest has ended.
    */
-  private static final Duration RETURN_STEP = Duration.ofMillis(100);
+  private static final Duration RETRY_STEP_PER_RANK = Duration.ofMillis(100);
 
   private static final double NANOS_PER_MILLI = 1e6;
 
-  /** Callers do not wait for longer than a third of the time that they have left. */
-  private static final double RETURN_PART = 0.3;
+  /**
+   * Callers are told to come back after at most this part of the time that they have left: they do
+   * not wait for longer than a third of it.
+   */
+  private static final double MAX_RETRY_FRACTION = 0.3;
 
-  /** Callers that are told the same come back within the second half of the time. */
-  private static final double LEAST_SPREAD = 0.5;
+  /**
+   * The retry delay is spread at random from this part of it to the whole, so that callers that are
+   * refused together do not come back together.
+   */
+  private static final double MIN_RETRY_SPREAD = 0.5;
 
   private Duration minRetryAfter;
 
@@ -36,31 +44,43 @@
     minRetryAfter = parameters.minRetryAfter();
   }
 
-  /** No engine has run it, and it may come back. */
+  /**
+   * Refuses a request that no engine has run; the caller may try again.
+   *
+   * @param kind error kind in the answer
+   * @param cause cause that metrics and logs count
+   * @param reason explanation for people
+   */
   Decision notRun(ErrorKind kind, RefusalCause cause, String reason) {
     return new Decision.Refuse(kind, cause, reason, Optional.of(minRetryAfter));
   }
 
   /**
-   * There is no engine left to send it to.
+   * Refuses a request for which no engine is left to send it to.
    *
-   * @param closed until the first engine takes requests again, where none does now
+   * @param closed time until the first engine takes requests again; empty unless all of them refuse
+   *     requests now
    */
-  Decision nowhere(RequestProgress progress, Optional<Duration> closed) {
+  Decision noEngineLeft(RequestProgress progress, Optional<Duration> closed) {
     if (progress.possibleRuns() > 0) {
       return after(progress, AttemptOutcome.LOST, closed);
     }
     return closed.isPresent()
-        ? whileNoneIsOpen(progress, closed.get())
+        ? allEnginesClosed(progress, closed.get())
         : notRun(
             ErrorKind.NO_CAPACITY,
             RefusalCause.NO_ENGINE,
             "no engine of " + progress.service() + " is there");
   }
 
-  /** Who comes back sooner is refused again, at the cost of a try; the more urgent return first. */
-  private Decision whileNoneIsOpen(RequestProgress progress, Duration closed) {
-    Duration comeBack = closed.plus(RETURN_STEP.multipliedBy(progress.envelope().rank().place()));
+  /**
+   * Refuses a request while every engine of its service rests or has reached its limit. A caller
+   * that comes back sooner would only be refused again; callers with more urgent requests return
+   * first.
+   */
+  private Decision allEnginesClosed(RequestProgress progress, Duration closed) {
+    Duration retryDelay =
+        closed.plus(RETRY_STEP_PER_RANK.multipliedBy(progress.envelope().rank().place()));
     return new Decision.Refuse(
         ErrorKind.NO_CAPACITY,
         RefusalCause.CLOSED,
@@ -69,20 +89,22 @@
             + " rests or has no room within its limit, the first for "
             + closed.toMillis()
             + " ms",
-        Optional.of(atLeastMin(comeBack)));
+        Optional.of(atLeastMinRetryDelay(retryDelay)));
   }
 
   /**
-   * It is not sent again after an attempt that failed.
+   * Ends a request that is not sent again after a failed attempt.
    *
-   * @param closed until the first engine takes requests again, where none does now
+   * @param outcome outcome of the last attempt
+   * @param closed time until the first engine takes requests again; empty unless all of them refuse
+   *     requests now
    */
   Decision after(RequestProgress progress, AttemptOutcome outcome, Optional<Duration> closed) {
     if (outcome == AttemptOutcome.ANSWERED_FAILURE) {
       return new Decision.PassFailure();
     }
     if (progress.possibleRuns() == 0 && closed.isPresent()) {
-      return whileNoneIsOpen(progress, closed.get());
+      return allEnginesClosed(progress, closed.get());
     }
     if (progress.possibleRuns() == 0) {
       return notRun(
@@ -98,10 +120,11 @@
   }
 
   /**
-   * It would not be served in the time it has left, or has to go for more urgent ones. Callers come
-   * back after a part of their time at the longest, and not all at once.
+   * Refuses a request that would not be served before its deadline, or that makes room for more
+   * urgent ones. Callers are told to come back after a part of their remaining time at most, and
+   * not all at once.
    *
-   * @param forecastMillis in about how many ms there is room
+   * @param forecastMillis estimated time until an engine has room, in ms
    */
   Decision noRoom(
       RequestProgress progress,
@@ -111,25 +134,28 @@
       long nowNanos) {
     double left = progress.envelope().remainingNanos(nowNanos) / NANOS_PER_MILLI;
     double draw = RendezvousHash.draw(progress.envelope().requestId(), reason);
-    double spread = LEAST_SPREAD + (1 - LEAST_SPREAD) * draw;
-    double millis = Math.min(forecastMillis, RETURN_PART * left) * spread;
-    Duration comeBack = Duration.ofNanos((long) (Math.max(0, millis) * NANOS_PER_MILLI));
+    double spread = MIN_RETRY_SPREAD + (1 - MIN_RETRY_SPREAD) * draw;
+    double millis = Math.min(forecastMillis, MAX_RETRY_FRACTION * left) * spread;
+    Duration retryDelay = Duration.ofNanos((long) (Math.max(0, millis) * NANOS_PER_MILLI));
     return new Decision.Refuse(
-        ErrorKind.NO_CAPACITY, cause, reason, Optional.of(atLeastMin(comeBack)));
+        ErrorKind.NO_CAPACITY, cause, reason, Optional.of(atLeastMinRetryDelay(retryDelay)));
   }
 
-  /** Nobody is told to come back sooner than the least time. */
-  Duration atLeastMin(Duration comeBack) {
-    return comeBack.compareTo(minRetryAfter) > 0 ? comeBack : minRetryAfter;
+  /** Raises a retry delay to the configured minimum. */
+  Duration atLeastMinRetryDelay(Duration retryDelay) {
+    return retryDelay.compareTo(minRetryAfter) > 0 ? retryDelay : minRetryAfter;
   }
 
-  /** This node stops and lets nothing wait any longer. */
+  /** Refuses a waiting request because this node is stopping. */
   Decision stopping() {
     return notRun(
         ErrorKind.STOPPING, RefusalCause.STOPPING, "this node stops while it waits for an engine");
   }
 
-  /** Engines crash under it; coming back is vain. */
+  /**
+   * Refuses a request whose content crashes engines; there is no retry delay, since a retry would
+   * be refused again.
+   */
   Decision quarantined(RequestProgress progress) {
     String reason =
         "Not sent: engines have crashed under this request, whatever its id (content "
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestEnvelope.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestEnvelope.java
@@ -6,15 +6,17 @@
 import org.fallturn.core.routing.Route;
 
 /**
- * All that is decided on for one request; its head and body pass through untouched. Immutable.
+ * The facts about a request that decisions are based on; its head and body are passed through
+ * unchanged. Immutable.
  *
- * @param requestId the caller's id of this attempt
- * @param route the route it came on
- * @param caller on whose behalf it runs
- * @param rank its place among the requests of its service
- * @param prompt shape of its prompt; empty for an application request
- * @param arrivedNanos when it was read whole
- * @param answerByNanos when the caller or the operator stops waiting, whichever is first
+ * @param requestId id that the caller gave this request; a retry by the caller has another
+ * @param route the route that the request matched
+ * @param caller the tenant on whose behalf it runs
+ * @param rank its rank among the requests of its service
+ * @param prompt size and parts of its prompt; empty for an application request
+ * @param arrivedNanos when the whole request had been received
+ * @param answerByNanos the deadline: when the caller or the operator stops waiting, whichever is
+ *     first
  */
 public record RequestEnvelope(
     String requestId,
@@ -25,10 +27,13 @@
     long arrivedNanos,
     long answerByNanos) {
 
-  /** Less of its route's time is left to a request that was sent before. */
-  private static final double FIRST_TRY_PART = 0.9;
+  /**
+   * A request that arrives with less than this part of its route's timeout left is taken to have
+   * been sent by its caller before.
+   */
+  private static final double FIRST_TRY_MIN_FRACTION = 0.9;
 
-  /** A request whose sender is not checked. */
+  /** A request of a caller that is not authenticated. */
   public RequestEnvelope(
       String requestId,
       Route route,
@@ -38,18 +43,21 @@
     this(requestId, route, Caller.UNCHECKED, Rank.of(route), prompt, arrivedNanos, answerByNanos);
   }
 
-  /** Time left to begin the answer before the caller leaves; negative when it has passed. */
+  /**
+   * Time left until the caller leaves because the answer has not begun; negative when it has
+   * passed.
+   */
   public long remainingToBeginNanos(long nowNanos) {
-    long patience = arrivedNanos + route.beginPatience().toNanos() - nowNanos;
-    return Math.min(patience, remainingNanos(nowNanos));
+    long untilCallerLeaves = arrivedNanos + route.beginPatience().toNanos() - nowNanos;
+    return Math.min(untilCallerLeaves, remainingNanos(nowNanos));
   }
 
-  /** Whether its caller has spent some of its time before, and comes back with the rest. */
+  /** Whether the caller has spent part of its time on an earlier try of this request. */
   boolean hasReturned(long nowNanos) {
-    return remainingNanos(nowNanos) < FIRST_TRY_PART * route.timeout().toNanos();
+    return remainingNanos(nowNanos) < FIRST_TRY_MIN_FRACTION * route.timeout().toNanos();
   }
 
-  /** Time left to answer; negative when it has passed. */
+  /** Time left until the deadline; negative when it has passed. */
   public long remainingNanos(long nowNanos) {
     return answerByNanos - nowNanos;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
@@ -9,7 +9,7 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * What has been done for one request so far. Only the dispatcher writes it, on the dispatch thread.
+ * State of one request over its attempts. Only the dispatcher changes it, on the dispatch thread.
  */
 public final class RequestProgress {
 
@@ -35,81 +35,84 @@
   private CacheSource source;
   private ExpectedWork expected;
 
-  /** A request that has just arrived. */
+  /** State of a request that has just arrived. */
   public RequestProgress(RequestEnvelope envelope, RequestContent content) {
     this.envelope = envelope;
     this.content = content;
   }
 
-  /** What is decided on. */
+  /** The facts about the request that decisions are based on. */
   public RequestEnvelope envelope() {
     return envelope;
   }
 
-  /** What it is known by when it comes again under another id. */
+  /** The content, which identifies the request when it comes again under another id. */
   public RequestContent content() {
     return content;
   }
 
-  /** Whether it goes where few others run, as an engine may crash under it. */
+  /**
+   * Whether the request is sent only to engines with the fewest other requests, because its content
+   * may crash them.
+   */
   boolean isolated() {
     return isolated;
   }
 
-  void isolate(boolean apart) {
-    isolated = apart;
+  void isolate(boolean value) {
+    isolated = value;
   }
 
-  /** The service it goes to; empty before the first decision. */
+  /** The service that the request goes to; empty before the first decision. */
   public String service() {
     return service;
   }
 
-  /** The engine that has the request now. */
+  /** The engine of the present attempt; empty while there is none. */
   public Optional<ServingEngine> engine() {
     return Optional.ofNullable(engine);
   }
 
-  /** Whether the present attempt only reads the prompt. */
+  /** Whether the engine of the present attempt only reads the prompt. */
   public boolean prefilling() {
     return prefilling;
   }
 
-  /** How many engines may have run it, the present one included. */
+  /** Number of engines that may have run the request, including the present one. */
   public int possibleRuns() {
     return possibleRuns;
   }
 
-  /** How often it was sent to be run. */
+  /** How often the request was sent to an engine to be run. */
   public int runSends() {
     return runSends;
   }
 
-  /** How often a prompt was sent to be read ahead. */
+  /** How often the prompt was sent to a prefill engine. */
   public int prefillAttempts() {
     return prefillAttempts;
   }
 
   /**
-   * Whether the next send is one more arrival at the service than a request needs: a run, and one
-   * prefill that its engine carried out.
+   * Whether the next send counts as a repeat: a request needs one run, and one prefill if its
+   * engine carried it out; every send beyond these is a repeat.
    */
   boolean nextSendIsRepeat() {
     return sends > (prefilled ? 1 : 0);
   }
 
-  /** Whether the present attempt may be given up for one at another engine. */
+  /** Whether the present attempt may be given up in favor of another engine. */
   boolean mayGoElsewhere() {
     Route route = envelope.route();
     return prefilling || route.repeatable() && possibleRuns < route.maxAttempts();
   }
 
-  /** Whether an answer that begins now comes after the time in which it is worth most. */
+  /** Whether the target latency of the route has passed. */
   boolean late(long nowNanos) {
     return nowNanos - envelope.arrivedNanos() > envelope.route().targetLatency().toNanos();
   }
 
-  /** A KV cache that waits to be fetched. */
+  /** The KV cache of the prompt that an engine keeps to be fetched; empty when there is none. */
   public Optional<CacheSource> source() {
     return Optional.ofNullable(source);
   }
@@ -122,17 +125,19 @@
     return chargedTokens;
   }
 
-  /** Tokens that waited before it at the engine. */
+  /** Prompt tokens that the engine was expected to read before this prompt, when it was sent. */
   long aheadTokens() {
     return aheadTokens;
   }
 
-  /** When the present attempt, or the last one, was sent. */
+  /** When the present or, between attempts, the last attempt was sent. */
   public long sentNanos() {
     return sentNanos;
   }
 
-  /** When its engine was first heard by anybody after the present attempt was sent. */
+  /**
+   * When any node first heard from the engine after the present attempt was sent; empty until then.
+   */
   OptionalLong engineHeardNanos() {
     return engineHeardNanos;
   }
@@ -141,29 +146,33 @@
     engineHeardNanos = OptionalLong.of(nanos);
   }
 
-  /** Its level among the requests of the engine that has it. */
+  /** Urgency level among the requests of the engine. */
   int level() {
     return urgency.level(envelope.rank());
   }
 
-  /** Whether the engine was told to let those go first that can be answered in time. */
+  /** Whether the request was sent with an urgency behind requests that can be answered in time. */
   boolean sentAsLate() {
     return urgency.late();
   }
 
-  /** A prompt that was sent to the engine later, and is no more urgent, has been read before it. */
+  /** Counts a prompt that was sent to the engine later, is no more urgent, and was read earlier. */
   void onOvertaken() {
     overtakenCount++;
   }
 
-  /** The answer of the present attempt begins; false when it had begun before. */
+  /**
+   * Records that the answer of the present attempt has begun; returns false if it had begun before.
+   */
   boolean beginAnswer() {
     boolean first = !begun;
     begun = true;
     return first;
   }
 
-  /** Tokens of KV cache that it holds when it runs: its prompt and the longest answer. */
+  /**
+   * Tokens of KV cache that the request occupies while it runs: the prompt and the longest answer.
+   */
   long cacheTokens() {
     return envelope
         .prompt()
@@ -171,7 +180,7 @@
         .orElse(0L);
   }
 
-  /** Whether its answer may run for long. */
+  /** Whether the answer may be long; see {@link PromptShape#longAnswer}. */
   boolean longAnswer() {
     return envelope.prompt().filter(PromptShape::longAnswer).isPresent();
   }
@@ -181,12 +190,12 @@
     return begun;
   }
 
-  /** How many have onOvertaken the present attempt. */
+  /** How many prompts that were sent to the engine later were read before this one. */
   int overtakenCount() {
     return overtakenCount;
   }
 
-  /** The prompt has been read. */
+  /** Records that the prompt has been read. */
   void promptRead() {
     chargedTokens = 0;
   }
@@ -197,19 +206,19 @@
 
   void beginPrefill(
       ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
-    beginAnswer(chosen, estimate, order, nowNanos);
+    beginAttempt(chosen, estimate, order, nowNanos);
     prefilling = true;
     prefillAttempts++;
   }
 
   void beginRun(ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
-    beginAnswer(chosen, estimate, order, nowNanos);
+    beginAttempt(chosen, estimate, order, nowNanos);
     prefilling = false;
     runSends++;
     possibleRuns++;
   }
 
-  private void beginAnswer(
+  private void beginAttempt(
       ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
     engine = chosen;
     aheadTokens = estimate.aheadTokens();
@@ -223,19 +232,26 @@
     triedEngines.add(chosen.id());
   }
 
-  /** What the next attempt should take. */
+  /** Sets the expected work of the next attempt. */
   void setExpected(ExpectedWork work) {
     expected = work;
   }
 
-  /** What the present attempt should have taken; empty where it is not known, or was taken. */
+  /**
+   * Returns and clears the expected work of the present attempt; empty if it is unknown or was
+   * taken before.
+   */
   Optional<ExpectedWork> takeExpected() {
     Optional<ExpectedWork> taken = Optional.ofNullable(expected);
     expected = null;
     return taken;
   }
 
-  /** The present attempt is over. */
+  /**
+   * Ends the present attempt.
+   *
+   * @param mayHaveRun whether the engine may have run the request
+   */
   void endAttempt(boolean mayHaveRun) {
     expected = null;
     if (!prefilling && !mayHaveRun) {
@@ -246,12 +262,16 @@
     chargedTokens = 0;
   }
 
-  /** No byte of the present attempt reached an engine. */
-  void takeBackSend() {
+  /** Takes the present attempt out of the count of sends, since no byte of it reached an engine. */
+  void uncountSend() {
     sends--;
   }
 
-  /** The prompt was read; its KV cache waits at its engine. */
+  /**
+   * Records that the prompt has been read.
+   *
+   * @param kept where its KV cache can be fetched
+   */
   void keepSource(CacheSource kept) {
     prefilled = true;
     source = kept;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryBudget.java
@@ -5,31 +5,41 @@
 import org.fallturn.core.limits.SharedBudget;
 
 /**
- * Bounds what this node sends again to one service within a sliding window: a ratio of the requests
- * that all nodes received for that service, and a fixed slack, shared by {@link SharedBudget} with
- * the nodes that have something to send again. It answers failures that some nodes have and others
- * have not. A process forgets what the one before it sent again, so that it begins with the part of
- * its share that no process with a longer uptime touches. One thread calls.
+ * Bounds the requests that this node repeats to one service within a sliding window: a ratio of the
+ * requests that all nodes received for that service, plus a fixed slack. {@link SharedBudget}
+ * shares both among the nodes that have requests to repeat, since failures may concern some nodes
+ * only. A new process does not know what its predecessor repeated, so in its first window it uses
+ * only the part of its share that a longer-running process leaves unused. Only the dispatch thread
+ * calls.
  */
 final class RetryBudget {
 
-  /** Part of the ratio that is used, so that sends that arrive a window later stay within. */
-  private static final double RATIO_PART = 0.8;
+  /**
+   * Fraction of the ratio that is used, so that the bound also holds for repeats that reach the
+   * service a window later.
+   */
+  private static final double RATIO_FRACTION = 0.8;
 
-  /** Part that a process uses within its first window: the one before may have used the other. */
-  private static final double STARTING_RATIO_PART = 1 - RATIO_PART;
+  /**
+   * Fraction of the ratio that a process uses in its first window: its predecessor may have used
+   * the rest.
+   */
+  private static final double STARTING_RATIO_FRACTION = 1 - RATIO_FRACTION;
 
-  /** Part of this node's share of the slack that a process uses within its first window. */
-  private static final double STARTING_PART = 0.3;
+  /** Fraction of this node's share of the slack that a process uses in its first window. */
+  private static final double STARTING_SLACK_FRACTION = 0.3;
 
-  /** Part of the share that it uses later; with the other, one restart a window stays within. */
-  private static final double STEADY_PART = 1 - STARTING_PART;
+  /**
+   * Fraction of the share of the slack that it uses later. Together with the other fraction, one
+   * restart per window stays within the bound.
+   */
+  private static final double STEADY_SLACK_FRACTION = 1 - STARTING_SLACK_FRACTION;
 
   /**
-   * Part of what is allowed that requests may take whose best time is over, so that the other half
-   * is left for those that can still be in time. Judged, not measured.
+   * Fraction of the budget for requests that are already late, so that the rest is left for those
+   * that can still be in time.
    */
-  private static final double LATE_PART = 0.5;
+  private static final double LATE_FRACTION = 0.5;
 
   private double ratio;
   private double slack;
@@ -42,7 +52,7 @@
     this.budget = new SharedBudget(parameters.retryWindow());
   }
 
-  /** Takes changed bounds; the window stays. */
+  /** Applies changed bounds; the window stays. */
   void setBounds(DispatchParameters parameters) {
     ratio = parameters.retryRatio();
     slack = parameters.retrySlack();
@@ -53,31 +63,33 @@
   }
 
   /**
-   * Takes what is known of the others.
+   * Applies what is known of the other nodes.
    *
-   * @param told what they tell
-   * @param nodes nodes that share the slack; none of it is used while their number is not known
-   * @param uptimeNanos since when this process serves requests
+   * @param reported sum of the digests that the others reported
+   * @param nodes number of nodes that share the slack; while it is not known, none of the slack is
+   *     used
+   * @param uptimeNanos how long this process has served requests
    */
-  void setOthers(BudgetDigest told, OptionalInt nodes, long uptimeNanos) {
+  void setOthers(BudgetDigest reported, OptionalInt nodes, long uptimeNanos) {
     boolean steady = uptimeNanos >= windowNanos;
     budget.setBounds(
-        (steady ? RATIO_PART : STARTING_RATIO_PART) * ratio,
-        (steady ? STEADY_PART : STARTING_PART) * slack);
+        (steady ? RATIO_FRACTION : STARTING_RATIO_FRACTION) * ratio,
+        (steady ? STEADY_SLACK_FRACTION : STARTING_SLACK_FRACTION) * slack);
     budget.setSharing(steady);
-    budget.setOthers(told, nodes);
+    budget.setOthers(reported, nodes);
   }
 
   /**
-   * Takes one repeat when the bound allows it.
+   * Takes one repeat from the budget if the bound allows it.
    *
-   * @param late whether the request's best time is over; what can still be in time goes first
+   * @param late whether the request's target latency has passed; requests that can still be in time
+   *     have a larger part of the budget
    */
   boolean tryTake(boolean late, long nowNanos) {
-    return budget.tryTake(late ? LATE_PART : 1, nowNanos);
+    return budget.tryTake(late ? LATE_FRACTION : 1, nowNanos);
   }
 
-  /** What this node tells the others. */
+  /** What this node reports to the others. */
   BudgetDigest digest(long nowNanos) {
     return budget.digest(nowNanos);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
@@ -9,22 +9,23 @@
 import org.fallturn.core.routing.Route;
 
 /**
- * Says whether a request whose attempt failed may be sent again. Rules of correctness come first:
- * what may have run is repeated only where its route allows it, on no more engines than its route
- * allows. Then the time that is left, and last the budget that all nodes share.
+ * Decides whether a request whose attempt failed may be sent again. Correctness comes first: a
+ * request that may have run is repeated only where its route allows it, and on no more engines than
+ * the route allows. Then the remaining time counts, and last the retry budget that all nodes share.
  *
- * <p>Invariant: every send beyond a request's first run and the one prefill that served it is taken
- * from the budget here, whatever it is for. One thread calls.
+ * <p>Invariant: every send beyond a request's first run and its one successful prefill is taken
+ * from the budget here, whatever its purpose. Only the dispatch thread calls.
  */
 final class RetryRules {
 
   /**
-   * Least divisor of the slack, so that a node that hears only some others takes no large share.
+   * The slack is divided by at least this many nodes, so that a node that hears only from some of
+   * the others does not take too large a share.
    */
   private static final int MIN_NODE_COUNT = 6;
 
   private static final int MAX_PREFILL_ATTEMPTS = 2;
-  private static final int MAX_ARRIVALS_BEYOND_RUNS = 2;
+  private static final int MAX_SENDS_BEYOND_RUNS = 2;
   private static final Duration MIN_TIME_FOR_ATTEMPT = Duration.ofMillis(10);
 
   private final Map<String, RetryBudget> budgets = new HashMap<>();
@@ -38,16 +39,16 @@
     this.peerLoads = peerLoads;
   }
 
-  /** Takes changed bounds; the windows stay. */
+  /** Applies changed bounds; the windows of existing budgets stay. */
   void setParameters(DispatchParameters changed) {
     parameters = changed;
     budgets.values().forEach(budget -> budget.setBounds(changed));
   }
 
   /**
-   * Takes the number of nodes that share the budget, this one included.
+   * Sets the number of nodes that share the budget, this one included.
    *
-   * @param count empty while no other node has been heard, so that the number is not known
+   * @param count empty while no other node has been heard from, so that the number is not known
    */
   void setNodeCount(OptionalInt count) {
     nodeCount =
@@ -56,25 +57,28 @@
             : OptionalInt.empty();
   }
 
-  /** A request for a service came, which widens its budget. */
+  /** Counts a new request for a service, which raises the service's budget. */
   void onRequest(String service, long nowNanos) {
-    begin(nowNanos);
+    noteStart(nowNanos);
     budget(service).onRequest(nowNanos);
   }
 
-  private void begin(long nowNanos) {
+  private void noteStart(long nowNanos) {
     if (startedNanos.isEmpty()) {
       startedNanos = OptionalLong.of(nowNanos);
     }
   }
 
-  /** What this node tells the others of the budgets, by service; of most there is nothing. */
+  /**
+   * The retry budgets that this node reports to the others, by service; most services have nothing
+   * to report.
+   */
   Map<String, BudgetDigest> digests(long nowNanos) {
-    begin(nowNanos);
+    noteStart(nowNanos);
     peerLoads.budgetedServices(nowNanos).forEach(this::budget);
     Map<String, BudgetDigest> digests = new HashMap<>();
     for (String service : budgets.keySet()) {
-      BudgetDigest digest = current(service, nowNanos).digest(nowNanos);
+      BudgetDigest digest = updatedBudget(service, nowNanos).digest(nowNanos);
       if (digest.nodes() > 0) {
         digests.put(service, digest);
       }
@@ -83,9 +87,10 @@
   }
 
   /**
-   * Whether another engine may be sent the request after a failed run.
+   * Whether the request may be sent to another engine after a failed run; if so, takes the send
+   * from the budget.
    *
-   * @param hasCandidate whether there is an engine that it was not sent to
+   * @param hasCandidate whether there is an engine that the request has not been sent to
    */
   boolean mayRunAgain(
       RequestProgress progress, AttemptOutcome outcome, boolean hasCandidate, long nowNanos) {
@@ -94,7 +99,7 @@
       return false;
     }
     if (progress.possibleRuns() >= route.maxAttempts()
-        || progress.runSends() >= route.maxAttempts() + MAX_ARRIVALS_BEYOND_RUNS) {
+        || progress.runSends() >= route.maxAttempts() + MAX_SENDS_BEYOND_RUNS) {
       return false;
     }
     if (progress.envelope().remainingNanos(nowNanos) < MIN_TIME_FOR_ATTEMPT.toNanos()) {
@@ -103,27 +108,30 @@
     return hasCandidate && takeSend(progress, nowNanos);
   }
 
-  /** Whether one more engine may be asked to read the prompt ahead. */
+  /** Whether one more engine may be asked for a prefill of the prompt. */
   boolean prefillsLeft(RequestProgress progress) {
     return progress.prefillAttempts() < MAX_PREFILL_ATTEMPTS;
   }
 
-  /** Whether the request may be sent once more; takes the send from the budget when it counts. */
+  /**
+   * Whether the request may be sent once more; takes the send from the budget if it counts as a
+   * repeat.
+   */
   boolean takeSend(RequestProgress progress, long nowNanos) {
     if (!progress.nextSendIsRepeat()) {
       return true;
     }
-    return current(progress.service(), nowNanos).tryTake(progress.late(nowNanos), nowNanos);
+    return updatedBudget(progress.service(), nowNanos).tryTake(progress.late(nowNanos), nowNanos);
   }
 
-  private long uptime(long nowNanos) {
+  private long uptimeNanos(long nowNanos) {
     return startedNanos.isPresent() ? nowNanos - startedNanos.getAsLong() : 0;
   }
 
-  /** The budget with what is known of the others now. */
-  private RetryBudget current(String service, long nowNanos) {
+  /** The budget of a service, updated with what the other nodes reported. */
+  private RetryBudget updatedBudget(String service, long nowNanos) {
     RetryBudget budget = budget(service);
-    budget.setOthers(peerLoads.budget(service, nowNanos), nodeCount, uptime(nowNanos));
+    budget.setOthers(peerLoads.budget(service, nowNanos), nodeCount, uptimeNanos(nowNanos));
     return budget;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ServiceSplit.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ServiceSplit.java
@@ -8,41 +8,41 @@
 import org.fallturn.core.routing.WeightedService;
 
 /**
- * Divides a route's requests among its services by smooth weighted round robin: after any run of
- * requests each service is within one request of its share. A change of the weights starts anew.
- * One thread calls.
+ * Divides the requests of a route among its services by smooth weighted round robin: after any
+ * number of requests, each service is within one request of its share. Changed weights start a new
+ * rotation. Not thread-safe.
  */
 final class ServiceSplit {
 
-  private final Map<String, Turn> turns = new HashMap<>();
+  private final Map<String, Rotation> rotations = new HashMap<>();
 
-  /** The service that the next request of the route goes to. */
+  /** Returns the service for the next request of the route. */
   String next(Route route) {
     List<WeightedService> services = route.services();
     if (services.size() == 1) {
       return services.get(0).service();
     }
-    Turn turn = turns.get(route.name());
-    if (turn == null || !turn.services.equals(services)) {
-      turn = new Turn(services);
-      turns.put(route.name(), turn);
+    Rotation rotation = rotations.get(route.name());
+    if (rotation == null || !rotation.services.equals(services)) {
+      rotation = new Rotation(services);
+      rotations.put(route.name(), rotation);
     }
-    return turn.next();
+    return rotation.next();
   }
 
-  /** Forgets routes that are gone. */
+  /** Forgets routes that no longer exist. */
   void retain(Set<String> routeNames) {
-    turns.keySet().retainAll(routeNames);
+    rotations.keySet().retainAll(routeNames);
   }
 
-  /** Where the round of one route stands. */
-  private static final class Turn {
+  /** The rotation state of one route. */
+  private static final class Rotation {
 
     private final List<WeightedService> services;
     private final long[] credit;
     private final long total;
 
-    Turn(List<WeightedService> services) {
+    Rotation(List<WeightedService> services) {
       this.services = services;
       this.credit = new long[services.size()];
       this.total = services.stream().mapToLong(WeightedService::weight).sum();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
@@ -1,24 +1,24 @@
 package org.fallturn.core.dispatch;
 
-/** Why an attempt without a sign of an answer is given up. */
+/** Why an attempt that has brought no part of an answer is given up. */
 public enum StuckReason {
-  /** Nothing but this attempt says whether its engine works. */
+  /** No other request tells whether the engine works. */
   NO_ANSWER,
-  /** This node or several others avoid the engine, and it answers nobody. */
+  /** This node or several others suspect the engine, and it answers no request. */
   ENGINE_SUSPECTED,
-  /** The engine has answered nobody for longer than an engine that works. */
+  /** The engine has answered no request for longer than a working engine would. */
   ENGINE_SILENT,
-  /** The engine answers others, but not over this connection. */
+  /** The engine answers other requests, but nothing comes over this connection. */
   CONNECTION_SILENT,
-  /** The engine has read what was sent later. */
+  /** The engine has read prompts that were sent later. */
   OVERTAKEN;
 
   /**
-   * How the attempt ended.
+   * The outcome of the attempt that is given up.
    *
-   * @param patience of the attempt
+   * @param timeout timeout of the attempt
    */
-  public AttemptOutcome outcome(AttemptTimeout patience) {
-    return this == ENGINE_SILENT ? AttemptOutcome.SILENT : patience.whenOver();
+  public AttemptOutcome outcome(AttemptTimeout timeout) {
+    return this == ENGINE_SILENT ? AttemptOutcome.SILENT : timeout.outcomeOnTimeout();
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Urgency.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Urgency.java
@@ -3,56 +3,61 @@
 import org.fallturn.core.routing.Rank;
 
 /**
- * The order among the requests of one engine; 0 goes first. A request's rank decides. Within it
- * those go first whose prompt has been read: they need only a slot and a move, and what was read is
- * lost when their caller leaves. Then come those that can still be answered in time: one that
- * cannot only makes others late when it goes ahead of them; it goes behind those of lower ranks too
- * where both can be served.
+ * Priority classes of the requests at one engine; the engine serves lower levels first. The rank of
+ * a request decides first. Within a rank, requests whose prompt has been read go first: they need
+ * only a slot and a transfer of the KV cache, and the work of reading is lost when their caller
+ * leaves. Then come those that can still be answered in time. A request that cannot be in time
+ * would only make others late if it went ahead of them. Where all of them can still be served, it
+ * even goes behind requests of lower ranks.
  */
 enum Urgency {
-  /** The prompt has been read, and its KV cache waits at another engine. */
+  /** The prompt has been read; its KV cache waits at another engine. */
   READ,
-  /** The prompt is still to be read, and can be in time. */
+  /** The prompt has not been read yet; the answer can begin in time. */
   IN_TIME,
-  /** The prompt is still to be read, and cannot be in time. */
+  /** The prompt has not been read yet; the answer cannot begin in time. */
   LATE,
   /**
-   * Such a prompt that has so much time left that it is served all the same when it goes behind
-   * others, whatever their rank: it loses nothing by that, and they are in time.
+   * Like {@link #LATE}, but with enough time left to be served even behind requests of all ranks:
+   * it loses nothing by yielding, and the others are in time.
    */
   YIELDING;
 
-  /** How many levels engines know: 0 to 9. */
+  /** Number of urgency levels that engines know: 0 to 9. */
   static final int LEVELS = 10;
 
-  private static final int LEVELS_A_RANK = 3;
+  private static final int LEVELS_PER_RANK = 3;
 
-  /** Whether it cannot be in time. */
+  /** Whether the answer cannot begin in time. */
   boolean late() {
     return this == LATE || this == YIELDING;
   }
 
-  /** Whether there is a level of its own for what yields, behind those of all ranks. */
+  /**
+   * Whether the ranks leave a level for {@link #YIELDING}, behind all ranks.
+   *
+   * @param rank any rank of the service; only the number of ranks counts
+   */
   static boolean canYield(Rank rank) {
-    return LEVELS_A_RANK * rank.places() < LEVELS;
+    return LEVELS_PER_RANK * rank.places() < LEVELS;
   }
 
   /**
-   * The level that an engine is told. Where there are too many ranks for a level of each kind, read
-   * prompts lose theirs, since they seldom wait at the same engine as others; where there are still
-   * too many, those that are late.
+   * The level that is sent to the engine. With too many ranks for three levels each, {@link #READ}
+   * loses its own level first, since read prompts seldom wait at the same engine as others. With
+   * still more ranks, {@link #LATE} loses its own level too.
    */
   int level(Rank rank) {
     if (this == YIELDING) {
       return LEVELS - 1;
     }
-    int each = Math.max(1, Math.min(LEVELS_A_RANK, LEVELS / rank.places()));
-    int within =
-        switch (each) {
+    int levelsPerRank = Math.max(1, Math.min(LEVELS_PER_RANK, LEVELS / rank.places()));
+    int offset =
+        switch (levelsPerRank) {
           case 1 -> 0;
           case 2 -> this == LATE ? 1 : 0;
           default -> ordinal();
         };
-    return Math.min(LEVELS - 1, each * rank.place() + within);
+    return Math.min(LEVELS - 1, levelsPerRank * rank.place() + offset);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Where each opaque request runs and what follows when an attempt fails: the envelope that is
- * decided on, load and health of engines as this node knows them, the retry budget, and the state
- * machine over one request's attempts. Pure: one thread calls, time is passed in as nanoseconds of
- * a steady clock.
+ * Chooses an engine for each request and decides what follows when an attempt fails: the facts
+ * about a request that decisions are based on, the load and health of engines as this node knows
+ * them, the retry budget, and the state machine over the attempts of one request. The code does no
+ * I/O and reads no clock: one thread calls it, and passes the time as nanoseconds of a monotonic
+ * clock.
  */
 package org.fallturn.core.dispatch;
