--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -377,7 +377,7 @@
   }
 
   /**
-   * Returns whether the engine reads all that it does not have cached, or first copies from an
+   * Chooses whether the engine reads all that it does not have cached, or first copies from an
    * engine that has more of the prompt, whichever costs less.
    */
   private ReadPlan bestReading(
@@ -409,7 +409,7 @@
   /**
    * Of the tokens to be read, those that another engine has cached or is about to have read.
    *
-   * @param own tokens that the engine would have to read without a copy
+   * @param uncached tokens that the engine would have to read without a copy
    */
   private static int readAgain(Input input, int uncached) {
     int newTokens = input.prompt().promptTokens() - input.holders().soonTokens();
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationChoiceTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationChoiceTest.java
@@ -12,7 +12,10 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.junit.jupiter.api.Test;
 
-/** Where application requests go. */
+/**
+ * Checks how application requests are spread over engines. When every node chose the engine that
+ * looked least loaded, all nodes chose the same one.
+ */
 class ApplicationChoiceTest {
 
   private static final int NODES = 600;
@@ -25,15 +28,19 @@
     return new EngineDigest(requests, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD);
   }
 
-  /** Engines had 15 to 45 requests more than others at once, since all nodes took the emptiest. */
+  /**
+   * Guards against herding: when all nodes took the least loaded engine, single engines had 15 to
+   * 45 requests more than the others.
+   */
   @Test
-  void nodesThatHeardTheSameDoNotAllTakeTheSameEngine() {
-    Map<String, EngineDigest> heard =
+  void nodesWithTheSameReportsDoNotAllChooseTheSameEngine() {
+    Map<String, EngineDigest> reports =
         Map.of("a-1", running(18), "a-2", running(20), "a-3", running(24));
     Map<String, Integer> chosen = new HashMap<>();
     for (int node = 0; node < NODES; node++) {
       Dispatcher dispatcher = Requests.dispatcher(one, two, three);
-      Requests.receive(dispatcher, new LoadDigest("n-2", 1, 1, heard, List.of(), Map.of()), START);
+      Requests.receive(
+          dispatcher, new LoadDigest("n-2", 1, 1, reports, List.of(), Map.of()), START);
       Decision.Run run =
           (Decision.Run)
               dispatcher.start(Requests.application(RequestKind.IDEMPOTENT, 1), START + 1);
@@ -44,7 +51,7 @@
   }
 
   @Test
-  void loneNodeTakesTheEmptiest() {
+  void singleNodeChoosesTheLeastLoadedEngine() {
     Dispatcher dispatcher = Requests.dispatcher(one, two, three);
     for (int request = 0; request < 30; request++) {
       dispatcher.start(Requests.application(RequestKind.IDEMPOTENT, 1), START);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationQueueTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationQueueTest.java
@@ -17,13 +17,19 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.junit.jupiter.api.Test;
 
-/** Which application requests wait at a node, and what becomes of them. */
+/**
+ * Checks which application requests wait at a node, and how their wait ends. Without the queue,
+ * nodes overfilled engines that were already full, and the engines rejected requests.
+ */
 class ApplicationQueueTest {
 
   private static final int WORK_MILLIS = 250;
 
-  /** Eight slots, and so much work ahead as an aim of 500 ms allows. */
-  private static final int MOST = 16;
+  /**
+   * Requests that one engine is given: it has eight slots, and work of 250 ms fits twice into the
+   * target latency of 500 ms.
+   */
+  private static final int MAX_REQUESTS = 16;
 
   private final ServingEngine one = Requests.engine("a-1", APPLICATION, EngineStage.NONE);
   private final ServingEngine two = Requests.engine("a-2", APPLICATION, EngineStage.NONE);
@@ -32,7 +38,7 @@
     return START + Duration.ofMillis(millis).toNanos();
   }
 
-  private static Dispatcher loneNode(ServingEngine... engines) {
+  private static Dispatcher singleNode(ServingEngine... engines) {
     Dispatcher dispatcher = Requests.dispatcher(engines);
     dispatcher.setNodeCount(OptionalInt.empty());
     RequestProgress first = Requests.application(RequestKind.IDEMPOTENT, 2);
@@ -52,23 +58,23 @@
   }
 
   @Test
-  void requestsBeyondWhatIsWorkedOffInTimeWaitAndGoWhenThereIsRoom() {
-    Dispatcher dispatcher = loneNode(one);
-    List<RequestProgress> sent = fill(dispatcher, MOST);
-    RequestProgress waits = Requests.applicationAt(after(1), RequestKind.IDEMPOTENT, 2);
-    assertThat(dispatcher.start(waits, after(1))).isInstanceOf(Decision.Wait.class);
+  void requestsBeyondWhatFinishesInTimeWaitUntilThereIsRoom() {
+    Dispatcher dispatcher = singleNode(one);
+    List<RequestProgress> sent = fill(dispatcher, MAX_REQUESTS);
+    RequestProgress waiting = Requests.applicationAt(after(1), RequestKind.IDEMPOTENT, 2);
+    assertThat(dispatcher.start(waiting, after(1))).isInstanceOf(Decision.Wait.class);
     assertThat(dispatcher.takeEndedWaits(after(2))).isEmpty();
     dispatcher.onFinished(sent.get(0), after(3));
-    List<Dispatcher.EndedWait> ended = dispatcher.takeEndedWaits(after(3));
-    assertThat(ended).extracting(Dispatcher.EndedWait::progress).containsExactly(waits);
-    assertThat(ended.get(0).decision()).isInstanceOf(Decision.Run.class);
+    List<Dispatcher.EndedWait> endedWaits = dispatcher.takeEndedWaits(after(3));
+    assertThat(endedWaits).extracting(Dispatcher.EndedWait::progress).containsExactly(waiting);
+    assertThat(endedWaits.get(0).decision()).isInstanceOf(Decision.Run.class);
     assertThat(dispatcher.waitingCount()).isZero();
   }
 
   @Test
-  void requestThatCannotBeInTimeGoesBehindOneThatCan() {
-    Dispatcher dispatcher = loneNode(one);
-    List<RequestProgress> sent = fill(dispatcher, MOST);
+  void lateRequestRunsAfterOneThatCanBeInTime() {
+    Dispatcher dispatcher = singleNode(one);
+    List<RequestProgress> sent = fill(dispatcher, MAX_REQUESTS);
     RequestProgress older = Requests.application(RequestKind.IDEMPOTENT, 2);
     dispatcher.start(older, after(1));
     RequestProgress newer = Requests.applicationAt(after(400), RequestKind.IDEMPOTENT, 2);
@@ -80,47 +86,51 @@
   }
 
   @Test
-  void requestWhoseTimeWouldBeOverIsRefusedTruthfully() {
-    Dispatcher dispatcher = loneNode(one);
-    fill(dispatcher, MOST);
-    RequestProgress waits = Requests.application(RequestKind.NON_IDEMPOTENT, 1);
-    dispatcher.start(waits, after(1));
+  void requestWithTooLittleTimeLeftIsRefusedAsNotRun() {
+    Dispatcher dispatcher = singleNode(one);
+    fill(dispatcher, MAX_REQUESTS);
+    RequestProgress waiting = Requests.application(RequestKind.NON_IDEMPOTENT, 1);
+    dispatcher.start(waiting, after(1));
     assertThat(dispatcher.takeEndedWaits(after(4_800))).isEmpty();
-    List<Dispatcher.EndedWait> ended = dispatcher.takeEndedWaits(after(4_900));
-    Decision.Refuse refuse = (Decision.Refuse) ended.get(0).decision();
+    List<Dispatcher.EndedWait> endedWaits = dispatcher.takeEndedWaits(after(4_900));
+    Decision.Refuse refuse = (Decision.Refuse) endedWaits.get(0).decision();
     assertThat(refuse.kind().outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(refuse.retryAfter()).isPresent();
   }
 
   @Test
-  void nothingWaitsAtANodeThatStops() {
-    Dispatcher dispatcher = loneNode(one);
-    fill(dispatcher, MOST);
+  void stoppingNodeEndsAllWaits() {
+    Dispatcher dispatcher = singleNode(one);
+    fill(dispatcher, MAX_REQUESTS);
     dispatcher.start(Requests.application(RequestKind.IDEMPOTENT, 2), after(1));
-    List<Dispatcher.EndedWait> ended = dispatcher.closeWaits();
-    assertThat(((Decision.Refuse) ended.get(0).decision()).kind()).isEqualTo(ErrorKind.STOPPING);
+    List<Dispatcher.EndedWait> endedWaits = dispatcher.closeWaits();
+    assertThat(((Decision.Refuse) endedWaits.get(0).decision()).kind())
+        .isEqualTo(ErrorKind.STOPPING);
     RequestProgress later = Requests.application(RequestKind.IDEMPOTENT, 2);
     assertThat(dispatcher.start(later, after(2))).isInstanceOf(Decision.Run.class);
   }
 
   @Test
-  void callerThatLeavesLeavesNothingWaiting() {
-    Dispatcher dispatcher = loneNode(one);
-    fill(dispatcher, MOST);
-    RequestProgress waits = Requests.application(RequestKind.IDEMPOTENT, 2);
-    dispatcher.start(waits, after(1));
-    dispatcher.onAbandoned(waits, after(2));
+  void requestOfACallerThatLeftNoLongerWaits() {
+    Dispatcher dispatcher = singleNode(one);
+    fill(dispatcher, MAX_REQUESTS);
+    RequestProgress waiting = Requests.application(RequestKind.IDEMPOTENT, 2);
+    dispatcher.start(waiting, after(1));
+    dispatcher.onAbandoned(waiting, after(2));
     assertThat(dispatcher.waitingCount()).isZero();
     assertThat(dispatcher.waitingBytes()).isZero();
   }
 
-  /** The engine that had the requests dies: they go on at the other, and what waits after them. */
+  /**
+   * When one of two engines dies, its requests go on at the other engine, and the waiting request
+   * runs after them.
+   */
   @Test
-  void waitingRequestsGoElsewhereWhenAnEngineDies() {
-    Dispatcher dispatcher = loneNode(one, two);
-    List<RequestProgress> sent = fill(dispatcher, 2 * MOST);
-    RequestProgress waits = Requests.application(RequestKind.IDEMPOTENT, 2);
-    assertThat(dispatcher.start(waits, after(1))).isInstanceOf(Decision.Wait.class);
+  void waitingRequestRunsAtAnotherEngineWhenOneDies() {
+    Dispatcher dispatcher = singleNode(one, two);
+    List<RequestProgress> sent = fill(dispatcher, 2 * MAX_REQUESTS);
+    RequestProgress waiting = Requests.application(RequestKind.IDEMPOTENT, 2);
+    assertThat(dispatcher.start(waiting, after(1))).isInstanceOf(Decision.Wait.class);
     dispatcher.setDirectory(EngineDirectory.of(2, List.of(two)), after(2));
     sent.stream()
         .filter(request -> request.engine().orElseThrow().equals(one))
@@ -133,30 +143,35 @@
         .forEach(request -> dispatcher.onFinished(request, after(5)));
     assertThat(dispatcher.takeEndedWaits(after(6)))
         .extracting(Dispatcher.EndedWait::progress)
-        .contains(waits);
+        .contains(waiting);
     assertThat(dispatcher.waitingCount()).isZero();
   }
 
-  /** Full engines turned away 1 of 6 requests, as the nodes went on to send. */
+  /** Full engines rejected 1 of 6 requests because the nodes kept sending. */
   @Test
-  void engineThatTurnedAwayIsNotOverfilledAgain() {
-    Dispatcher dispatcher = loneNode(one);
-    List<RequestProgress> sent = fill(dispatcher, MOST - 4);
+  void engineThatRejectedARequestIsNotOverfilledAgain() {
+    Dispatcher dispatcher = singleNode(one);
+    List<RequestProgress> sent = fill(dispatcher, MAX_REQUESTS - 4);
     dispatcher.onFailure(sent.get(0), AttemptOutcome.NOT_EXECUTED, after(1));
     RequestProgress next = Requests.application(RequestKind.IDEMPOTENT, 2);
     assertThat(dispatcher.start(next, after(2))).isInstanceOf(Decision.Wait.class);
   }
 
-  /** A hundred nodes receive that two full engines have room for eight again. */
+  /**
+   * A hundred nodes learn at the same time that two full engines have room for eight requests
+   * again.
+   */
   @Test
-  void nodesThatHearOfRoomTogetherDoNotOverfillIt() {
-    EngineDigest digest = new EngineDigest(MOST - 4, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD);
-    Map<String, EngineDigest> heard = Map.of("a-1", digest, "a-2", digest);
+  void nodesThatLearnOfRoomTogetherDoNotOverfillTheEngines() {
+    EngineDigest digest =
+        new EngineDigest(MAX_REQUESTS - 4, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD);
+    Map<String, EngineDigest> reports = Map.of("a-1", digest, "a-2", digest);
     int sent = 0;
     for (int node = 0; node < 100; node++) {
-      Dispatcher dispatcher = loneNode(one, two);
+      Dispatcher dispatcher = singleNode(one, two);
       dispatcher.setNodeCount(OptionalInt.of(100));
-      Requests.receive(dispatcher, new LoadDigest("n-2", 1, 1, heard, List.of(), Map.of()), START);
+      Requests.receive(
+          dispatcher, new LoadDigest("n-2", 1, 1, reports, List.of(), Map.of()), START);
       for (int step = 0; step < 20; step++) {
         long now = after(1 + 5 * step);
         if (step < 3) {
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/BudgetFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/BudgetFleet.java
@@ -12,9 +12,9 @@
 import org.fallturn.core.limits.SharedBudget;
 
 /**
- * Nodes that share one retry budget, in steps of 10 ms of simulated time: requests come and fail at
- * random, each node tells its digest every 100 ms, what is told comes late and at times not at all,
- * and nodes are cut off, paused and restarted. Counts requests and repeats as the engines do.
+ * Simulates nodes that share one retry budget, in steps of 10 ms: requests arrive and fail at
+ * random; each node reports its digest every 100 ms, and reports come late or are lost; nodes are
+ * partitioned, paused and restarted. Counts requests and repeats as the engines would.
  */
 final class BudgetFleet {
 
@@ -23,56 +23,58 @@
   static final double WINDOW_SECONDS = RetryBudgetTest.WINDOW / 1e9;
 
   private static final int STEP_MILLIS = 10;
-  private static final int TURN_MILLIS = 100;
-  private static final int LEAST_NODES = 6;
+  private static final int REPORT_INTERVAL_MILLIS = 100;
+  private static final int MIN_NODES = 6;
 
-  /** How many come to a node a second. */
+  /** A rate of events at each node. */
   interface Rate {
     double perSecond(int node, double seconds);
   }
 
-  /** What goes wrong, by node and time. */
-  interface Trouble {
-    Trouble NONE = (node, seconds) -> 0;
+  /** Faults, by node and time. */
+  interface Faults {
+    Faults NONE = (node, seconds) -> 0;
 
-    /** The group of nodes that receive each other; negative while a node is paused. */
+    /** The partition that the node is in; negative while the node is paused. */
     int group(int node, double seconds);
 
-    /** Whether its process ends now and another begins. */
+    /** Whether the node's process ends now and a new one starts. */
     default boolean restarts(int node, double seconds) {
       return false;
     }
   }
 
-  private record Told(long atNanos, BudgetDigest digest, int group) {}
+  private record Report(long arrivalNanos, BudgetDigest digest, int group) {}
 
   private final int nodes;
   private final boolean sharing;
   private final double lost;
-  private final int mostDelayMillis;
+  private final int maxDelayMillis;
   private final Random random;
   private final RetryBudget[] budgets;
   private final long[] startedNanos;
-  private final List<Deque<Told>> told = new ArrayList<>();
+  private final List<Deque<Report>> reports = new ArrayList<>();
   private final List<Long> requests = new ArrayList<>();
   private final List<Long> repeats = new ArrayList<>();
 
   /**
-   * Nodes that have served for long.
+   * Creates nodes that have run for a minute.
    *
-   * @param sharing whether they receive what the others tell; else each keeps its equal part
+   * @param sharing whether nodes receive what the others report; otherwise each keeps its equal
+   *     share
+   * @param lost probability that a report is lost
    */
   BudgetFleet(int nodes, boolean sharing, double lost, long seed) {
     this.nodes = nodes;
     this.sharing = sharing;
     this.lost = lost;
-    this.mostDelayMillis = nodes > 16 ? 250 : 100;
+    this.maxDelayMillis = nodes > 16 ? 250 : 100;
     this.random = new Random(seed);
     this.budgets = new RetryBudget[nodes];
     this.startedNanos = new long[nodes];
     for (int node = 0; node < nodes; node++) {
       start(node, -Duration.ofMinutes(1).toNanos());
-      told.add(new ArrayDeque<>());
+      reports.add(new ArrayDeque<>());
     }
   }
 
@@ -81,77 +83,78 @@
     startedNanos[node] = nowNanos;
   }
 
-  void play(double seconds, Rate asked, Rate failed, Trouble trouble) {
+  void simulate(double seconds, Rate requestRate, Rate failureRate, Faults faults) {
     for (int millis = 0; millis < seconds * 1_000; millis += STEP_MILLIS) {
       long now = TimeUnit.MILLISECONDS.toNanos(millis);
-      step(millis, asked, failed, trouble, now);
+      step(millis, requestRate, failureRate, faults, now);
     }
   }
 
-  private void step(int millis, Rate asked, Rate failed, Trouble trouble, long now) {
+  private void step(int millis, Rate requestRate, Rate failureRate, Faults faults, long now) {
     double time = millis / 1_000.0;
-    hearAll(trouble, time, now);
+    deliverReports(faults, time, now);
     for (int node = 0; node < nodes; node++) {
-      if (trouble.restarts(node, time)) {
+      if (faults.restarts(node, time)) {
         start(node, now);
-        told.get(node).clear();
+        reports.get(node).clear();
       }
-      if (trouble.group(node, time) < 0) {
+      if (faults.group(node, time) < 0) {
         continue;
       }
-      for (int request = comes(asked.perSecond(node, time)); request > 0; request--) {
+      for (int request = randomCount(requestRate.perSecond(node, time)); request > 0; request--) {
         budgets[node].onRequest(now);
         requests.add(now);
       }
-      for (int failure = comes(failed.perSecond(node, time)); failure > 0; failure--) {
+      for (int failure = randomCount(failureRate.perSecond(node, time)); failure > 0; failure--) {
         if (budgets[node].tryTake(false, now)) {
           repeats.add(now);
         }
       }
-      if ((millis / STEP_MILLIS + node) % (TURN_MILLIS / STEP_MILLIS) == 0) {
-        tell(node, trouble.group(node, time), now);
+      if ((millis / STEP_MILLIS + node) % (REPORT_INTERVAL_MILLIS / STEP_MILLIS) == 0) {
+        report(node, faults.group(node, time), now);
       }
     }
   }
 
-  private int comes(double perSecond) {
+  private int randomCount(double perSecond) {
     double expected = perSecond * STEP_MILLIS / 1_000;
     return (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
   }
 
-  private void tell(int node, int group, long now) {
+  private void report(int node, int group, long now) {
     if (random.nextDouble() >= lost) {
-      long delay = TimeUnit.MILLISECONDS.toNanos(10 + random.nextInt(mostDelayMillis));
-      told.get(node).addLast(new Told(now + delay, budgets[node].digest(now), group));
+      long delay = TimeUnit.MILLISECONDS.toNanos(10 + random.nextInt(maxDelayMillis));
+      reports.get(node).addLast(new Report(now + delay, budgets[node].digest(now), group));
     }
   }
 
-  private void hearAll(Trouble trouble, double time, long now) {
-    List<Told> heard = new ArrayList<>();
-    for (Deque<Told> of : told) {
-      Told latest = null;
-      for (Told any : of) {
-        latest = any.atNanos <= now ? any : latest;
+  private void deliverReports(Faults faults, double time, long now) {
+    List<Report> received = new ArrayList<>();
+    for (Deque<Report> sent : reports) {
+      Report latest = null;
+      for (Report candidate : sent) {
+        latest = candidate.arrivalNanos <= now ? candidate : latest;
       }
-      while (latest != null && of.peekFirst() != latest) {
-        of.removeFirst();
+      while (latest != null && sent.peekFirst() != latest) {
+        sent.removeFirst();
       }
-      boolean fresh = latest != null && now - latest.atNanos < SharedBudget.DIGEST_LIFETIME_NANOS;
-      heard.add(fresh ? latest : new Told(now, BudgetDigest.NONE, Integer.MIN_VALUE));
+      boolean fresh =
+          latest != null && now - latest.arrivalNanos < SharedBudget.DIGEST_LIFETIME_NANOS;
+      received.add(fresh ? latest : new Report(now, BudgetDigest.NONE, Integer.MIN_VALUE));
     }
     for (int node = 0; node < nodes; node++) {
-      int group = trouble.group(node, time);
-      BudgetDigest others = sharing ? others(heard, node, group) : BudgetDigest.NONE;
+      int group = faults.group(node, time);
+      BudgetDigest others = sharing ? others(received, node, group) : BudgetDigest.NONE;
       long uptime = now - startedNanos[node];
-      budgets[node].setOthers(others, OptionalInt.of(Math.max(LEAST_NODES, nodes)), uptime);
+      budgets[node].setOthers(others, OptionalInt.of(Math.max(MIN_NODES, nodes)), uptime);
     }
   }
 
-  private BudgetDigest others(List<Told> heard, int self, int group) {
+  private BudgetDigest others(List<Report> received, int self, int group) {
     int[] sums = new int[5];
     for (int node = 0; node < nodes; node++) {
-      if (node != self && heard.get(node).group == group) {
-        BudgetDigest digest = heard.get(node).digest;
+      if (node != self && received.get(node).group == group) {
+        BudgetDigest digest = received.get(node).digest;
         sums[0] += digest.nodes();
         sums[1] += digest.requests();
         sums[2] += digest.used();
@@ -162,8 +165,11 @@
     return new BudgetDigest(sums[0], sums[1], sums[2], sums[3], sums[4]);
   }
 
-  /** How far the worst window is within the bound; negative where it is passed. */
-  double leastRoom() {
+  /**
+   * Margin between the repeats of the worst window and the bound; negative where the bound is
+   * exceeded.
+   */
+  double leastMargin() {
     long window = (long) (WINDOW_SECONDS * 1e9);
     double least = SLACK;
     int first = 0;
@@ -172,23 +178,23 @@
       while (end - repeats.get(first) >= window) {
         first++;
       }
-      int asked =
+      int requestCount =
           Math.max(
               requests(end - window, end),
               Math.max(
                   requests(end - 2 * window, end - window),
                   requests(end - window - window / 2, end - window / 2)));
-      least = Math.min(least, RATIO * asked + SLACK - (last - first + 1));
+      least = Math.min(least, RATIO * requestCount + SLACK - (last - first + 1));
     }
     return least;
   }
 
-  /** How many requests came after a moment and until another. */
+  /** Number of requests after one time and up to another. */
   private int requests(long fromNanos, long untilNanos) {
-    return until(untilNanos) - until(fromNanos);
+    return countUpTo(untilNanos) - countUpTo(fromNanos);
   }
 
-  private int until(long nanos) {
+  private int countUpTo(long nanos) {
     int low = 0;
     int high = requests.size();
     while (low < high) {
@@ -202,7 +208,7 @@
     return low;
   }
 
-  /** How many repeats were sent a window, on average within a time. */
+  /** Average number of repeats per window between two times. */
   double repeatsPerWindow(double fromSeconds, double toSeconds) {
     long sent =
         repeats.stream().filter(at -> at >= fromSeconds * 1e9 && at < toSeconds * 1e9).count();
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/DispatcherTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/DispatcherTest.java
@@ -20,6 +20,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
+/**
+ * Checks the dispatcher's invariants on repeats and refusals, and its choice of engines for prompts
+ * and application requests.
+ */
 class DispatcherTest {
 
   private final ServingEngine appOne = Requests.engine("a-1", APPLICATION, EngineStage.NONE);
@@ -40,7 +44,7 @@
 
   @ParameterizedTest
   @EnumSource(AttemptOutcome.class)
-  void requestThatMayHaveRunIsNeitherRepeatedNorCalledNotRun(AttemptOutcome outcome) {
+  void requestThatMayHaveRunIsNeitherRepeatedNorReportedAsNotRun(AttemptOutcome outcome) {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     RequestProgress progress = Requests.application(RequestKind.NON_IDEMPOTENT, 3);
     dispatcher.start(progress, START);
@@ -71,7 +75,7 @@
   }
 
   @Test
-  void requestThatNoEngineTookIsNotRunAndToldWhenToComeBack() {
+  void requestThatNoEngineTookIsRefusedAsNotRunWithARetryDelay() {
     Dispatcher dispatcher = Requests.dispatcher(appOne);
     RequestProgress progress = Requests.application(RequestKind.NON_IDEMPOTENT, 1);
     dispatcher.start(progress, START);
@@ -82,7 +86,7 @@
   }
 
   @Test
-  void requestRejectedAfterAPossibleRunIsNotCalledNotRun() {
+  void requestRejectedAfterAPossibleRunIsNotReportedAsNotRun() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     RequestProgress progress = Requests.application(RequestKind.IDEMPOTENT, 2);
     dispatcher.start(progress, START);
@@ -110,7 +114,7 @@
   }
 
   @Test
-  void leavingEngineGetsNothingWhileThereIsAnother() {
+  void leavingEngineGetsNoRequestsWhileThereIsAnother() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     dispatcher.setDirectory(
         EngineDirectory.of(2, List.of(Requests.leaving(appOne), appTwo)), START);
@@ -148,9 +152,9 @@
     assertThat(((Decision.Prefill) dispatcher.start(inTime, START)).urgency()).isEqualTo(4);
     RequestProgress late = Requests.prompt(false, 0, 130_000);
     assertThat(((Decision.Prefill) dispatcher.start(late, START)).urgency()).isEqualTo(5);
-    RequestProgress patient = Requests.prompt(false, 0, 40_000);
+    RequestProgress yielding = Requests.prompt(false, 0, 40_000);
     Dispatcher idle = Requests.dispatcher(prefill, decode);
-    assertThat(((Decision.Prefill) idle.start(patient, START)).urgency())
+    assertThat(((Decision.Prefill) idle.start(yielding, START)).urgency())
         .as("late, and half of its time is left when it goes behind all others")
         .isEqualTo(9);
     Decision.Run run = (Decision.Run) dispatcher.onPrefilled(late, "h", after(1_500));
@@ -187,7 +191,8 @@
   }
 
   /**
-   * Where the shared part is being read there is a wait, which is worth less than reading it twice.
+   * An engine that is still reading the shared part makes the next prompt wait, which costs less
+   * than reading the part twice.
    */
   @Test
   void sharedPartThatIsStillBeingReadIsWaitedFor() {
@@ -200,9 +205,12 @@
     assertThat(second.estimate().readTokens()).isEqualTo(4_000);
   }
 
-  /** A decode engine reads between the tokens of its streams, whose pauses grow with it. */
+  /**
+   * A decode engine reads prompts between the tokens of its streams, so a long prompt lengthens
+   * their pauses.
+   */
   @Test
-  void longPromptWaitsForAPrefillEngineRatherThanHoldUpStreams() {
+  void longPromptWaitsForAPrefillEngineRatherThanDelayStreams() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, decode);
     assertThat(dispatcher.start(Requests.prompt(false, 0, 20_000), START))
         .isInstanceOf(Decision.Prefill.class);
@@ -213,7 +221,7 @@
   }
 
   @Test
-  void promptsThatOtherNodesPlacedAreKnown() {
+  void partsOfPromptsThatOtherNodesPlacedCountAsCached() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, decode);
     RequestProgress progress = Requests.prompt(false, 13_000, 4_000);
     PromptPart shared = progress.envelope().prompt().orElseThrow().parts().get(0);
@@ -225,7 +233,7 @@
   }
 
   @Test
-  void nodeThatHasJustStartedLearnsWhichPartsEnginesKeep() {
+  void newNodeLearnsWhichPartsEnginesHaveCached() {
     Dispatcher started = Requests.dispatcher(prefill, decode);
     RequestProgress progress = Requests.prompt(false, 13_000, 4_000);
     List<PromptPart> shared = progress.envelope().prompt().orElseThrow().sharedParts();
@@ -286,7 +294,7 @@
   }
 
   @Test
-  void loadIsGivenBackHoweverARequestEnds() {
+  void loadIsReleasedHoweverARequestEnds() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, decode, appOne);
     RequestProgress finished = Requests.application(RequestKind.IDEMPOTENT, 1);
     dispatcher.start(finished, START);
@@ -301,9 +309,9 @@
     assertThat(dispatcher.fleet().ownLoads(START)).isEmpty();
   }
 
-  /** An engine that restarted under a new id keeps its old entry for some seconds. */
+  /** The entry of an engine that restarted under a new id stays listed for some seconds. */
   @Test
-  void engineInWhosePlaceAnotherAnswersGetsNothingForSeconds() {
+  void engineReplacedByAnotherAtItsAddressGetsNoRequestsForSeconds() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     RequestProgress progress = Requests.application(RequestKind.IDEMPOTENT, 2);
     ServingEngine replaced = runEngine(dispatcher.start(progress, START));
@@ -315,7 +323,7 @@
   }
 
   @Test
-  void partsOfAPromptThatNoEngineReadAreNotBelievedKept() {
+  void partsOfAPromptThatNoEngineReadDoNotCountAsCached() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     RequestProgress progress = Requests.prompt(false, 13_000, 3_000);
     dispatcher.start(progress, START);
@@ -331,7 +339,7 @@
   }
 
   @Test
-  void requestThatCanBeInTimeWaitsOnlyForWhatIsBeingReadOfThoseThatGoBehind() {
+  void promptThatCanBeInTimeWaitsOnlyForTheLatePromptBeingRead() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     for (int request = 0; request < 3; request++) {
       RequestProgress late = Requests.prompt(false, 0, 30_000);
@@ -345,7 +353,7 @@
   }
 
   @Test
-  void whatOtherNodesHaveWaitingCountsByItsUrgency() {
+  void backlogOfOtherNodesCountsByUrgency() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, decode);
     Map<String, EngineDigest> loads =
         Map.of(
@@ -359,7 +367,7 @@
   }
 
   @Test
-  void nodeThatHasJustStartedTakesTheReadingSpeedThatAnotherLearned() {
+  void newNodeUsesTheReadingSpeedThatAnotherMeasured() {
     Dispatcher learned = Requests.dispatcher(prefill, decode);
     assertThat(learned.fleet().ownSpeeds()).isEmpty();
     for (int request = 0; request < 30; request++) {
@@ -373,12 +381,12 @@
         started,
         new LoadDigest("n", 1, 1, Map.of(), List.of(), learned.fleet().ownSpeeds()),
         START);
-    Decision.Prefill told =
+    Decision.Prefill informed =
         (Decision.Prefill) started.start(Requests.prompt(false, 0, 30_000), START);
-    Decision.Prefill guessed =
+    Decision.Prefill uninformed =
         (Decision.Prefill)
             Requests.dispatcher(prefill, decode).start(Requests.prompt(false, 0, 30_000), START);
-    assertThat(told.estimate().millis()).isLessThan(guessed.estimate().millis() / 3);
+    assertThat(informed.estimate().millis()).isLessThan(uninformed.estimate().millis() / 3);
   }
 
   @Test
@@ -404,7 +412,7 @@
   }
 
   @Test
-  void promptThatWouldWaitTooLongIsRefusedOnceAndNeverByAGuessedSpeed() {
+  void promptThatWouldWaitTooLongIsRefusedOnceAndOnlyByAMeasuredSpeed() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     Map<String, EngineDigest> loads =
         Map.of(
@@ -426,9 +434,12 @@
         .isInstanceOf(Decision.Prefill.class);
   }
 
-  /** Also one that has come back. Callers of those that wait before it leave too. */
+  /**
+   * A returning caller's prompt is refused too. A prompt within the margin is served, since callers
+   * of prompts ahead of it may leave.
+   */
   @Test
-  void promptWhoseReadingOutlastsItsCallersPatienceIsRefusedAtOnce() {
+  void promptThatCannotBeReadBeforeItsCallerLeavesIsRefusedAtOnce() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     Map<String, LearnedSpeed> speeds = Map.of(Requests.MODEL, new LearnedSpeed(0.02));
     Map<String, EngineDigest> loads =
@@ -446,23 +457,23 @@
     assertThat(refusal.kind().outcome()).isEqualTo(Outcome.NOT_RUN);
   }
 
-  /** An engine reads a prompt to its end before it takes a more urgent one. */
+  /** An engine reads a prompt to its end before it reads a more urgent one. */
   @Test
-  void promptDoesNotGoBehindALongOneThatIsBeingReadAlthoughItIsLessUrgent() {
+  void promptAvoidsAnEngineThatIsReadingALongLessUrgentPrompt() {
     ServingEngine other = Requests.engine("p-2", Requests.MODEL, EngineStage.PREFILL);
     Dispatcher dispatcher = Requests.dispatcher(prefill, other);
     RequestProgress late = Requests.prompt(false, 0, 40_000);
     dispatcher.start(late, START);
     assertThat(late.sentAsLate()).isTrue();
     for (int request = 0; request < 20; request++) {
-      RequestProgress brief = Requests.promptAt(after(1), 200);
-      dispatcher.start(brief, after(1));
-      assertThat(brief.engine()).isPresent().isNotEqualTo(late.engine());
-      dispatcher.onAbandoned(brief, after(2));
+      RequestProgress shortPrompt = Requests.promptAt(after(1), 200);
+      dispatcher.start(shortPrompt, after(1));
+      assertThat(shortPrompt.engine()).isPresent().isNotEqualTo(late.engine());
+      dispatcher.onAbandoned(shortPrompt, after(2));
     }
   }
 
-  /** Else the second seems to have been read at once. */
+  /** Otherwise the second prompt of a step would seem to have been read in no time. */
   @Test
   void promptsThatAnEngineEndsInOneStepDoNotMakeItSeemFast() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ForeseenRefusalTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ForeseenRefusalTest.java
@@ -16,12 +16,15 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.junit.jupiter.api.Test;
 
-/** What is refused since it is foreseen to be too late, and what is not. */
+/**
+ * Checks which prompts are refused because their first token is expected too late, and which are
+ * not. Unrefused, such prompts waited until their deadline and took capacity from others.
+ */
 class ForeseenRefusalTest {
 
   private static final Duration PATIENCE = Duration.ofSeconds(2);
 
-  /** Tokens are read at 50 a ms. */
+  /** The engines read 50 tokens per ms. */
   private static final LearnedSpeed SPEED = new LearnedSpeed(0.02);
 
   private final ServingEngine prefill = Requests.engine("p-1", MODEL, EngineStage.PREFILL);
@@ -47,17 +50,17 @@
   }
 
   /**
-   * A flood of short prompts stood before the long ones: 343 of them ran to their deadline unread,
-   * and nobody told their callers.
+   * Many short prompts went ahead of the long ones: 343 of these reached their deadline unread, and
+   * their callers were not told earlier.
    */
   @Test
-  void promptThatCannotBeginBeforeItsCallerLeavesIsRefusedAtOnceAlsoWhenItHasComeBack() {
+  void promptThatCannotBeginBeforeItsCallerLeavesIsRefusedEvenWhenItsCallerHasComeBack() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     receive(dispatcher, Map.of("p-1", waiting(150_000)), START);
     RequestProgress first = Requests.impatientPrompt(PATIENCE, after(1), 4_000);
     RequestProgress back = Requests.impatientPrompt(PATIENCE, START - PATIENCE.toNanos(), 4_000);
-    for (RequestProgress hopeless : List.of(first, back)) {
-      Decision.Refuse refusal = (Decision.Refuse) dispatcher.start(hopeless, after(1));
+    for (RequestProgress tooLate : List.of(first, back)) {
+      Decision.Refuse refusal = (Decision.Refuse) dispatcher.start(tooLate, after(1));
       assertThat(refusal.kind().outcome()).isEqualTo(Outcome.NOT_RUN);
       assertThat(refusal.retryAfter()).isPresent();
     }
@@ -71,7 +74,7 @@
     assertThat(dispatcher.start(back, after(1))).isInstanceOf(Decision.Prefill.class);
   }
 
-  /** Its engine crashed, and the other one cannot read it in the time that is left. */
+  /** The first engine fails, and the other cannot read the prompt in the time that is left. */
   @Test
   void promptWhoseEngineFailedIsRefusedWhenItIsTooLateElsewhere() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, other);
@@ -83,7 +86,7 @@
   }
 
   @Test
-  void callersOfOneRefusalDoNotComeBackTogetherNorLaterThanTheyWait() {
+  void refusedCallersComeBackAtDifferentTimesAndBeforeTheyGiveUp() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     receive(dispatcher, Map.of("p-1", waiting(640_000)), START);
     Set<Duration> back = new HashSet<>();
@@ -95,7 +98,7 @@
   }
 
   @Test
-  void callerThatHasComeBackGoesBeforeOneThatIsNewAndLate() {
+  void promptOfAReturningCallerGoesBeforeANewLatePrompt() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     receive(dispatcher, Map.of("p-1", waiting(50_000)), START);
     RequestProgress fresh = Requests.promptAt(START, 4_000);
@@ -106,13 +109,13 @@
   }
 
   /**
-   * Read prompts were handed to a decode engine whose slots were all taken, since a request that
-   * waits there for a slot seemed to cost next to nothing: they began one or two seconds later.
+   * Read prompts were sent to a decode engine whose slots were all taken, because the wait for a
+   * slot was hardly part of the cost: their answers began one or two seconds later.
    */
   @Test
-  void waitForASlotIsForeseenForAPromptThatHasBeenRead() {
+  void waitForASlotCountsForAPromptThatHasBeenRead() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, decode, otherDecode);
-    learnStay(dispatcher);
+    learnServiceTime(dispatcher);
     receive(dispatcher, Map.of("d-1", running(20), "d-2", running(16)), START);
     RequestProgress read = Requests.prompt(false, 0, 4_000);
     dispatcher.start(read, START);
@@ -123,11 +126,14 @@
         .isGreaterThan(1_000);
   }
 
-  /** Engines evicted what they had begun, and read it anew, since others had room for it. */
+  /**
+   * Engines evicted requests that they had begun and read their prompts again, while other engines
+   * had room for them.
+   */
   @Test
-  void promptThatWouldOverfillACacheGoesToAnEngineFurtherAway() {
+  void promptThatWouldOverfillACacheGoesToAnEngineInAnotherZone() {
     Dispatcher dispatcher = Requests.dispatcher(decode);
-    learnStay(dispatcher);
+    learnServiceTime(dispatcher);
     for (int prompt = 0; prompt < 5; prompt++) {
       RequestProgress large = Requests.promptAt(START, 75_000);
       dispatcher.start(large, START);
@@ -143,11 +149,11 @@
   }
 
   /**
-   * Urgent prompts that were late already went before long ones that could still be in time, and
-   * made them late too.
+   * Urgent prompts that were already late went ahead of long prompts that could still be in time,
+   * and made them late too.
    */
   @Test
-  void urgentPromptThatIsLateLetsOthersPassOnlyWhileItIsServedAllTheSame() {
+  void lateUrgentPromptYieldsOnlyWhileItCanStillBeServed() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
     int late = urgency(dispatcher, 0, 40_000);
     int inTime = urgency(Requests.dispatcher(prefill), 2, 4_000);
@@ -161,9 +167,9 @@
     return ((Decision.Prefill) dispatcher.start(progress, START)).urgency();
   }
 
-  private static void learnStay(Dispatcher dispatcher) {
-    RequestProgress stays = Requests.promptAt(after(-1_000), 100);
-    dispatcher.start(stays, after(-1_000));
-    dispatcher.onFinished(stays, START);
+  private static void learnServiceTime(Dispatcher dispatcher) {
+    RequestProgress finished = Requests.promptAt(after(-1_000), 100);
+    dispatcher.start(finished, after(-1_000));
+    dispatcher.onFinished(finished, START);
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PeerBudgetsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PeerBudgetsTest.java
@@ -10,11 +10,14 @@
 import org.fallturn.core.limits.BudgetDigest;
 import org.junit.jupiter.api.Test;
 
-/** What nodes tell each other of retry budgets. */
+/**
+ * Checks what nodes report to each other about retry budgets. A report that is counted twice, kept
+ * too long or sent by a process that does not know its past would let the fleet exceed its bound.
+ */
 class PeerBudgetsTest {
 
   private static final long NOW = Requests.START + Duration.ofMinutes(1).toNanos();
-  private static final BudgetDigest TOLD = new BudgetDigest(1, 50, 3, 2, 90);
+  private static final BudgetDigest REPORTED = new BudgetDigest(1, 50, 3, 2, 90);
 
   private final PeerLoads loads = new PeerLoads();
 
@@ -24,29 +27,29 @@
   }
 
   private void receive(String node, int port, PeerLoads.Source source) {
-    loads.onDigest(digest(node, TOLD), source, new NetworkAddress("10.0.0.2", port), NOW);
+    loads.onDigest(digest(node, REPORTED), source, new NetworkAddress("10.0.0.2", port), NOW);
   }
 
   @Test
-  void relayAddsUpWhatItsMembersTell() {
+  void relayAddsUpTheReportsOfItsMembers() {
     receive("n-1", 1, PeerLoads.Source.MEMBER);
     receive("n-2", 2, PeerLoads.Source.MEMBER);
     receive("n-3", 3, PeerLoads.Source.RELAY);
-    assertThat(loads.budget(Requests.MODEL, NOW)).isEqualTo(TOLD.plus(TOLD).plus(TOLD));
-    assertThat(loads.group(digest("n-0", TOLD), NOW).budgets())
-        .containsEntry(Requests.MODEL, TOLD.plus(TOLD).plus(TOLD));
-    assertThat(loads.views(digest("n-0", TOLD), NOW).get(new NetworkAddress("10.0.0.2", 1)))
+    assertThat(loads.budget(Requests.MODEL, NOW)).isEqualTo(REPORTED.plus(REPORTED).plus(REPORTED));
+    assertThat(loads.group(digest("n-0", REPORTED), NOW).budgets())
+        .containsEntry(Requests.MODEL, REPORTED.plus(REPORTED).plus(REPORTED));
+    assertThat(loads.views(digest("n-0", REPORTED), NOW).get(new NetworkAddress("10.0.0.2", 1)))
         .extracting(view -> view.budgets().get(Requests.MODEL))
-        .isEqualTo(TOLD.plus(TOLD).plus(TOLD));
+        .isEqualTo(REPORTED.plus(REPORTED).plus(REPORTED));
   }
 
   @Test
-  void whatWasToldLongerAgoIsNotBelieved() {
+  void expiredReportsAreNotCounted() {
     receive("n-1", 1, PeerLoads.Source.MEMBER);
     long later = NOW + Duration.ofMillis(500).toNanos();
     assertThat(loads.budget(Requests.MODEL, later)).isEqualTo(BudgetDigest.NONE);
-    assertThat(loads.group(digest("n-0", TOLD), later).budgets())
-        .containsEntry(Requests.MODEL, TOLD);
+    assertThat(loads.group(digest("n-0", REPORTED), later).budgets())
+        .containsEntry(Requests.MODEL, REPORTED);
   }
 
   private static Dispatcher steady() {
@@ -57,34 +60,34 @@
   }
 
   @Test
-  void nobodySpeaksWhileNobodyWantsAnything() {
+  void nodesReportNothingWhileNoNodeWantsRepeats() {
     assertThat(steady().ownBudgets(NOW)).isEmpty();
   }
 
-  /** A node without requests for the service has a part of the slack that others can use. */
+  /** A node without requests for the service has a share of the slack that others can use. */
   @Test
-  void nodeThatHearsOfWantsTellsWhatItKeeps() {
+  void nodeReportsWhatItKeepsWhenAnotherWantsRepeats() {
     Dispatcher dispatcher = steady();
-    Requests.receive(dispatcher, digest("n-1", TOLD), NOW);
+    Requests.receive(dispatcher, digest("n-1", REPORTED), NOW);
     BudgetDigest own = dispatcher.ownBudgets(NOW).get(Requests.MODEL);
     assertThat(own.nodes()).isEqualTo(1);
-    // A sixth of seven tenths of the slack, of which some is left to others.
+    // The share is a sixth of seven tenths of the slack; the node keeps only part of it.
     assertThat(own.kept()).isBetween(1, 349);
   }
 
   @Test
-  void nodeThatHearsOnlyThoseThatWantNothingIsSilent() {
+  void nodeReportsNothingWhenTheOthersWantNothing() {
     Dispatcher dispatcher = steady();
     Requests.receive(dispatcher, digest("n-1", new BudgetDigest(1, 50, 0, 0, 0)), NOW);
     assertThat(dispatcher.ownBudgets(NOW)).isEmpty();
   }
 
-  /** It does not know what the process before it took. */
+  /** The new process does not know what its predecessor used. */
   @Test
-  void processThatHasJustStartedTellsNothing() {
+  void processThatHasJustStartedReportsNothing() {
     Dispatcher dispatcher = Requests.dispatcher(30);
     dispatcher.setNodeCount(OptionalInt.of(6));
-    Requests.receive(dispatcher, digest("n-1", TOLD), NOW);
+    Requests.receive(dispatcher, digest("n-1", REPORTED), NOW);
     assertThat(dispatcher.ownBudgets(NOW)).isEmpty();
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/Requests.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/Requests.java
@@ -22,7 +22,7 @@
 import org.fallturn.core.stages.StageParameters;
 import org.fallturn.core.waiting.WaitingParameters;
 
-/** Requests, engines and dispatchers for tests. */
+/** Creates requests, engines and dispatchers for tests. */
 final class Requests {
 
   static final String MODEL = "llm";
@@ -35,7 +35,10 @@
 
   private Requests() {}
 
-  /** Ids of requests and addresses of engines go on from a number, whatever tests ran before. */
+  /**
+   * Sets the number from which request ids and engine addresses continue, so that they do not
+   * depend on the tests that ran before.
+   */
   static void numberFrom(int first) {
     number = first;
   }
@@ -44,7 +47,10 @@
     return dispatcher(1_000, engines);
   }
 
-  /** One that gives each request to an engine at once, however many are there. */
+  /**
+   * Creates a dispatcher without a queue: it sends each application request to an engine at once,
+   * whatever the load.
+   */
   static Dispatcher dispatcherWithoutWaits(ServingEngine... engines) {
     return dispatcher(
         1_000, new WaitingParameters(true, false, true, true, true, 0), true, engines);
@@ -89,11 +95,11 @@
     return dispatcher;
   }
 
-  /** Another node tells of its load. */
+  /** Delivers a load report of another node. */
   static void receive(Dispatcher dispatcher, LoadDigest digest, long nowNanos) {
-    NetworkAddress speaker =
+    NetworkAddress sender =
         new NetworkAddress("10.0.0.2", 1 + Math.floorMod(digest.node().hashCode(), 60_000));
-    dispatcher.peerLoads().onDigest(digest, PeerLoads.Source.RELAY, speaker, nowNanos);
+    dispatcher.peerLoads().onDigest(digest, PeerLoads.Source.RELAY, sender, nowNanos);
     dispatcher.fleet().onPeerReport(digest, nowNanos);
   }
 
@@ -156,14 +162,14 @@
     return progress(route(RequestKind.STREAMING, resumable, MODEL, 2), Optional.of(shape));
   }
 
-  /** A stream that may not be repeated, whose prompt shares nothing. */
+  /** A streaming request that must not be repeated, with a prompt that shares no part. */
   static RequestProgress promptAt(long nowNanos, int tokens) {
     PromptPart own = new PromptPart("own-" + number, tokens);
     PromptShape shape = new PromptShape("m", tokens, 8, List.of(own));
     return progress(route(RequestKind.STREAMING, false, MODEL, 1), Optional.of(shape), nowNanos);
   }
 
-  /** A stream with a place in the order of its service. */
+  /** A streaming request with the given rank in its service. */
   static RequestProgress ranked(Rank rank, int tokens) {
     PromptShape shape = new PromptShape("m", tokens, 8, List.of());
     Route route = route(RequestKind.STREAMING, false, MODEL, 1);
@@ -180,7 +186,7 @@
     return new RequestProgress(envelope, content(id));
   }
 
-  /** A stream whose caller has spent a third of its time before. */
+  /** A streaming request whose caller has spent a third of its time on an earlier try. */
   static RequestProgress returned(long nowNanos, int tokens) {
     PromptShape shape = new PromptShape("m", tokens, 8, List.of());
     Route route = route(RequestKind.STREAMING, false, MODEL, 1);
@@ -195,14 +201,16 @@
     return new RequestProgress(envelope, content(id));
   }
 
-  /** A stream whose caller leaves when it has not begun after a time. */
+  /**
+   * A streaming request whose caller leaves when the answer has not begun within the given time.
+   */
   static RequestProgress impatientPrompt(Duration beginPatience, long nowNanos, int tokens) {
     PromptShape shape = new PromptShape("m", tokens, 8, List.of());
     return progress(
         route(RequestKind.STREAMING, false, MODEL, 1, beginPatience), Optional.of(shape), nowNanos);
   }
 
-  /** A stream that may be resumed, with a content that may come again under another id. */
+  /** A resumable streaming request whose content may come again under another id. */
   static RequestProgress streamOf(String body, long nowNanos) {
     PromptShape shape = new PromptShape("m", 400, 8, List.of());
     Route route = route(RequestKind.STREAMING, true, MODEL, 2);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/RetryBudgetFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/RetryBudgetFleetTest.java
@@ -14,9 +14,10 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * A fleet of dispatchers in front of engines that answer, reject, lose and never begin prompts at
- * random: what arrives at the service beyond each request's first run stays within the bound that
- * the operators set for the whole fleet, as the engines count it.
+ * Checks the retry budget over a fleet of dispatchers, in front of engines that at random answer,
+ * reject, lose or never begin prompts: the sends that reach the service beyond the first run of
+ * each request, counted as the engines count them, stay within the bound that the operators set for
+ * the whole fleet. Retries that no budget bounds multiply the load on engines that already fail.
  */
 class RetryBudgetFleetTest {
 
@@ -36,16 +37,16 @@
     AttemptOutcome.OUT_OF_TIME
   };
 
-  private final List<Long> asked = new ArrayList<>();
-  private final List<Long> repeats = new ArrayList<>();
+  private final List<Long> requestTimes = new ArrayList<>();
+  private final List<Long> repeatTimes = new ArrayList<>();
 
   @Property(tries = 40, seed = "20261202")
   void arrivalsPastTheFirstStayWithinTheBoundOfTheFleet(
       @ForAll @IntRange(min = 1, max = 12) int nodes, @ForAll long seed) {
-    asked.clear();
-    repeats.clear();
+    requestTimes.clear();
+    repeatTimes.clear();
     Random random = new Random(seed);
-    double failing = random.nextDouble();
+    double failureRate = random.nextDouble();
     List<Dispatcher> fleet = new ArrayList<>();
     long[] restartedAt = new long[nodes];
     for (int node = 0; node < nodes; node++) {
@@ -59,7 +60,7 @@
         fleet.set(node, node(hears(random), nodes));
         restartedAt[node] = now;
       }
-      play(fleet.get(node), random, failing, now);
+      serveRequest(fleet.get(node), random, failureRate, now);
     }
     checkEveryWindow();
   }
@@ -77,30 +78,33 @@
     return random.nextInt(3) > 0;
   }
 
-  /** A node that has just started; one that hears no other does not know their number. */
+  /**
+   * A node that has just started; one that hears from no other does not know the number of nodes.
+   */
   private static Dispatcher node(boolean hears, int nodes) {
     Dispatcher dispatcher = Requests.dispatcher(SLACK, ENGINES);
     dispatcher.setNodeCount(hears ? OptionalInt.of(nodes) : OptionalInt.empty());
     return dispatcher;
   }
 
-  private void play(Dispatcher dispatcher, Random random, double failing, long arrivedNanos) {
+  private void serveRequest(
+      Dispatcher dispatcher, Random random, double failureRate, long arrivedNanos) {
     RequestProgress progress = Requests.prompt(true, 6_000, 2_000 + random.nextInt(3_000));
-    asked.add(arrivedNanos);
+    requestTimes.add(arrivedNanos);
     long now = arrivedNanos;
     int arrivals = 0;
     boolean prefillTaken = false;
     Decision decision = dispatcher.start(progress, now);
     while (decision instanceof Decision.Prefill || decision instanceof Decision.Run) {
       boolean prefill = decision instanceof Decision.Prefill;
-      boolean fails = random.nextDouble() < failing;
+      boolean fails = random.nextDouble() < failureRate;
       AttemptOutcome failure = FAILURES[random.nextInt(FAILURES.length)];
       boolean arrives = !fails || failure != AttemptOutcome.NOT_SENT;
-      boolean free = prefill && !fails && !prefillTaken;
-      if (free) {
+      boolean isFree = prefill && !fails && !prefillTaken;
+      if (isFree) {
         prefillTaken = true;
       } else if (arrives && ++arrivals > 1) {
-        repeats.add(now);
+        repeatTimes.add(now);
       }
       now += random.nextInt(40_000_000);
       if (fails) {
@@ -116,10 +120,10 @@
   }
 
   private void checkEveryWindow() {
-    for (long end : repeats) {
+    for (long end : repeatTimes) {
       long begin = end - WINDOW;
-      long repeated = repeats.stream().filter(at -> at > begin && at <= end).count();
-      long requests = asked.stream().filter(at -> at > begin - WINDOW && at <= end).count();
+      long repeated = repeatTimes.stream().filter(at -> at > begin && at <= end).count();
+      long requests = requestTimes.stream().filter(at -> at > begin - WINDOW && at <= end).count();
       assertThat(repeated).isLessThanOrEqualTo((long) (RATIO * requests + SLACK));
     }
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/RetryBudgetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/RetryBudgetTest.java
@@ -13,6 +13,10 @@
 import org.fallturn.core.limits.BudgetDigest;
 import org.fallturn.core.waiting.WaitingParameters;
 
+/**
+ * Checks that nodes that each use an equal share of the retry budget never exceed the bound
+ * together. Each node sees only its own sends, so a share that is too large shows only in the sum.
+ */
 class RetryBudgetTest {
 
   static final double RATIO = 0.2;
@@ -35,7 +39,9 @@
             true));
   }
 
-  /** In no window do the repeats of all nodes pass the fleet's bound, however requests come. */
+  /**
+   * However requests come, the repeats of all nodes stay within the fleet's bound in every window.
+   */
   @Property(tries = 60, seed = "20261203")
   void everyWindowKeepsTheBoundOverAllNodes(
       @ForAll @IntRange(min = 1, max = 9) int nodes, @ForAll long seed) {
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ServiceSplitTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ServiceSplitTest.java
@@ -11,6 +11,10 @@
 import org.fallturn.core.routing.WeightedService;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Checks that requests are divided by weight after any number of requests, not only in the long
+ * run, and that changed weights apply at once.
+ */
 class ServiceSplitTest {
 
   private static Route route(WeightedService... services) {
@@ -31,7 +35,7 @@
   }
 
   @Test
-  void everyRunOfRequestsIsWithinOneOfTheShares() {
+  void countsStayWithinOneRequestOfTheShares() {
     Route route = route(new WeightedService("a", 90), new WeightedService("b", 10));
     ServiceSplit split = new ServiceSplit();
     Map<String, Integer> counts = new HashMap<>();
@@ -42,7 +46,7 @@
   }
 
   @Test
-  void serviceOfNoWeightGetsNothing() {
+  void serviceOfWeightZeroGetsNoRequests() {
     Route route = route(new WeightedService("a", 0), new WeightedService("b", 5));
     ServiceSplit split = new ServiceSplit();
     for (int request = 0; request < 100; request++) {
@@ -51,7 +55,7 @@
   }
 
   @Test
-  void changedWeightsHoldAtOnce() {
+  void changedWeightsApplyAtOnce() {
     ServiceSplit split = new ServiceSplit();
     split.next(route(new WeightedService("a", 1), new WeightedService("b", 1)));
     Route after = route(new WeightedService("a", 0), new WeightedService("b", 1));
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/SharedRetryBudgetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/SharedRetryBudgetTest.java
@@ -9,16 +9,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * With an equal part for each node, a node of 71 that alone had failures sent 1.8 requests again in
- * 10 s, and the parts of all others lay unused. Parts go to where they are wanted, and all nodes
- * together still never pass what the operators allow the whole fleet.
+ * Checks that nodes use the shares of the retry budget that others leave, and that all nodes
+ * together stay within the bound that the operators set for the fleet. With equal shares, one node
+ * of 71 that alone had failures could repeat only 1.8 requests in 10 s, while the shares of the
+ * others were unused.
  */
 class SharedRetryBudgetTest {
 
   private static final double LOST = 0.05;
   private static final int[] SIZES = {1, 2, 3, 8, 9, 30, 63, 112, 338};
 
-  /** Failures that come and go, at any of the nodes or at all, alone or in bursts. */
+  /** Failures at one node, some or all of them, steady or in bursts. */
   private static BudgetFleet.Rate anyFailures(int nodes, double most, Random random) {
     int period = 1 + random.nextInt(12);
     int kind = random.nextInt(5);
@@ -34,7 +35,7 @@
     };
   }
 
-  /** Requests that are even, that end, or that are all at some of the nodes for a while. */
+  /** Requests that arrive evenly, pause at times, or arrive at some of the nodes only. */
   private static BudgetFleet.Rate anyRequests(int nodes, double all, Random random) {
     int period = 2 + random.nextInt(10);
     int kind = random.nextInt(3);
@@ -48,21 +49,23 @@
     };
   }
 
-  /** Nodes are cut into groups, paused, and restarted once a window at most. */
-  private static BudgetFleet.Trouble anyTrouble(Random random) {
-    double cutFrom = 5 + 10 * random.nextDouble();
-    double cutFor = random.nextInt(3) * 4;
+  /** Nodes are partitioned into groups, paused, and restarted at most once per window. */
+  private static BudgetFleet.Faults anyFaults(Random random) {
+    double partitionedFrom = 5 + 10 * random.nextDouble();
+    double partitionedFor = random.nextInt(3) * 4;
     int groups = 2 + random.nextInt(3);
     int paused = random.nextInt(8);
     int restarted = random.nextInt(4);
     double restartFrom = 8 + random.nextInt(10);
-    return new BudgetFleet.Trouble() {
+    return new BudgetFleet.Faults() {
       @Override
       public int group(int node, double seconds) {
         if (node % 8 == paused && seconds > 8 && seconds < 11) {
           return -1;
         }
-        return seconds >= cutFrom && seconds < cutFrom + cutFor ? node % groups : 0;
+        return seconds >= partitionedFrom && seconds < partitionedFrom + partitionedFor
+            ? node % groups
+            : 0;
       }
 
       @Override
@@ -80,45 +83,45 @@
     double all = new double[] {0.5, 10, 60, 400}[random.nextInt(4)];
     BudgetFleet fleet = new BudgetFleet(nodes, true, LOST, seed);
     BudgetFleet.Rate failures = anyFailures(nodes, 2 + all * random.nextDouble(), random);
-    fleet.play(30, anyRequests(nodes, all, random), failures, anyTrouble(random));
-    assertThat(fleet.leastRoom())
+    fleet.simulate(30, anyRequests(nodes, all, random), failures, anyFaults(random));
+    assertThat(fleet.leastMargin())
         .as("%d nodes, %.1f requests a second", nodes, all)
         .isGreaterThanOrEqualTo(0);
   }
 
-  /** Nine tenths of what all nodes together may repeat. */
+  /** A node that alone has failures uses nine tenths of what all nodes together may repeat. */
   @ParameterizedTest
   @CsvSource({"8,60", "30,60", "71,60", "112,400", "338,400"})
-  void nodeThatAloneHasFailuresUsesNearlyAll(int nodes, double all) {
+  void nodeThatAloneHasFailuresUsesNearlyTheWholeBudget(int nodes, double all) {
     BudgetFleet fleet = new BudgetFleet(nodes, true, LOST, 2);
     double allowed = 0.8 * 10 * BudgetFleet.RATIO * all + 0.7 * BudgetFleet.SLACK;
     BudgetFleet.Rate failures = (node, seconds) -> node == 0 ? allowed / 3 : 0;
-    fleet.play(50, (node, seconds) -> all / nodes, failures, BudgetFleet.Trouble.NONE);
+    fleet.simulate(50, (node, seconds) -> all / nodes, failures, BudgetFleet.Faults.NONE);
     System.out.println(
         "USES "
             + nodes
             + " "
             + fleet.repeatsPerWindow(10, 50) / allowed
             + " room "
-            + fleet.leastRoom());
+            + fleet.leastMargin());
     assertThat(fleet.repeatsPerWindow(10, 50) / allowed).isGreaterThan(0.9);
-    assertThat(fleet.leastRoom()).isGreaterThanOrEqualTo(0);
+    assertThat(fleet.leastMargin()).isGreaterThanOrEqualTo(0);
   }
 
-  /** Where all want the same, nobody waits for what others leave. */
+  /** Where all nodes have failures, none waits for shares that others leave. */
   @ParameterizedTest
   @CsvSource({"8,60", "71,60", "71,400"})
-  void nodesThatAllHaveFailuresUseAsMuchAsWithEqualParts(int nodes, double all) {
+  void nodesThatAllHaveFailuresUseAsMuchAsWithEqualShares(int nodes, double all) {
     double allowed = 0.8 * 10 * BudgetFleet.RATIO * all + 0.7 * BudgetFleet.SLACK;
     double[] used = new double[2];
-    for (int way = 0; way < 2; way++) {
-      BudgetFleet fleet = new BudgetFleet(nodes, way == 1, LOST, 3);
-      fleet.play(
+    for (int mode = 0; mode < 2; mode++) {
+      BudgetFleet fleet = new BudgetFleet(nodes, mode == 1, LOST, 3);
+      fleet.simulate(
           40,
           (node, seconds) -> all / nodes,
           (node, seconds) -> allowed / 3 / nodes,
-          BudgetFleet.Trouble.NONE);
-      used[way] = fleet.repeatsPerWindow(10, 40);
+          BudgetFleet.Faults.NONE);
+      used[mode] = fleet.repeatsPerWindow(10, 40);
     }
     assertThat(used[1]).isGreaterThan(0.9 * used[0]);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/StuckAttemptTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/StuckAttemptTest.java
@@ -10,10 +10,14 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.junit.jupiter.api.Test;
 
-/** When an attempt at the one engine that reads prompts is given up, and when it is waited for. */
+/**
+ * Checks when an attempt at the only prefill engine is given up and when it is waited for. Giving
+ * up a prompt that merely waits behind others wastes its place; waiting on a lost connection costs
+ * the caller its time.
+ */
 class StuckAttemptTest {
 
-  private static final Duration PATIENCE = Duration.ofMillis(500);
+  private static final Duration TIMEOUT = Duration.ofMillis(500);
 
   private final ServingEngine prefill = Requests.engine("p-1", Requests.MODEL, EngineStage.PREFILL);
   private final Dispatcher dispatcher = Requests.dispatcher(prefill);
@@ -32,23 +36,23 @@
   @Test
   void promptThatWaitsBehindOthersAtAnEngineThatAnswersIsNotStuck() {
     sendTwo();
-    assertThat(dispatcher.stuck(second, PATIENCE, after(530)))
+    assertThat(dispatcher.stuck(second, TIMEOUT, after(530)))
         .as("nothing was heard since")
         .isPresent();
     dispatcher.onPrefilled(first, "h", after(535));
-    assertThat(dispatcher.stuck(second, PATIENCE, after(545))).isEmpty();
+    assertThat(dispatcher.stuck(second, TIMEOUT, after(545))).isEmpty();
   }
 
   @Test
   void promptAtAnEngineThatAnsweredLongAgoIsStuck() {
     sendTwo();
     dispatcher.onPrefilled(first, "h", after(100));
-    assertThat(dispatcher.stuck(second, PATIENCE, after(615))).isEmpty();
-    assertThat(dispatcher.stuck(second, PATIENCE, after(645))).isPresent();
+    assertThat(dispatcher.stuck(second, TIMEOUT, after(615))).isEmpty();
+    assertThat(dispatcher.stuck(second, TIMEOUT, after(645))).isPresent();
   }
 
   @Test
-  void promptWhoseConnectionWentSilentIsStuckInTheEndAlthoughItsEngineAnswersOthers() {
+  void promptOnASilentConnectionIsEventuallyStuckAlthoughItsEngineAnswersOthers() {
     RequestProgress lost = Requests.prompt(false, 0, 4_000);
     dispatcher.start(lost, START);
     for (int millis = 100; millis <= 1_500; millis += 100) {
@@ -56,10 +60,10 @@
           Map.of("p-1", new EngineDigest(1, 0, List.of(), 0, 0, 20));
       LoadDigest digest = new LoadDigest("n-1", 1, millis, answered, List.of(), Map.of());
       Requests.receive(dispatcher, digest, after(millis));
-      assertThat(dispatcher.stuck(lost, PATIENCE, after(millis))).isEmpty();
+      assertThat(dispatcher.stuck(lost, TIMEOUT, after(millis))).isEmpty();
     }
-    assertThat(dispatcher.stuck(lost, PATIENCE, after(1_570))).isEmpty();
-    assertThat(dispatcher.stuck(lost, PATIENCE, after(1_590))).isPresent();
+    assertThat(dispatcher.stuck(lost, TIMEOUT, after(1_570))).isEmpty();
+    assertThat(dispatcher.stuck(lost, TIMEOUT, after(1_590))).isPresent();
   }
 
   @Test
@@ -72,9 +76,9 @@
         dispatcher, new LoadDigest("n-1", 1, 1, suspects, List.of(), Map.of()), after(110));
     Requests.receive(
         dispatcher, new LoadDigest("n-2", 1, 1, suspects, List.of(), Map.of()), after(110));
-    Duration shortPatience = Duration.ofMillis(200);
-    assertThat(dispatcher.stuck(second, shortPatience, after(300))).isEmpty();
-    assertThat(dispatcher.stuck(second, shortPatience, after(520))).isPresent();
+    Duration shortTimeout = Duration.ofMillis(200);
+    assertThat(dispatcher.stuck(second, shortTimeout, after(300))).isEmpty();
+    assertThat(dispatcher.stuck(second, shortTimeout, after(520))).isPresent();
   }
 
   @Test
