--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
@@ -147,7 +147,7 @@
    * engines would otherwise idle until nodes learn that they have room.
    */
   private double maxRequestsPerSlot(String service, long nowNanos) {
-    OptionalDouble work = selector.stays().workMillis(service);
+    OptionalDouble work = selector.responseTimes().workMillis(service);
     if (work.isEmpty()) {
       return Double.POSITIVE_INFINITY;
     }
@@ -216,13 +216,13 @@
   }
 
   private long workNanos(String service) {
-    return (long) (selector.stays().workMillis(service).orElse(0) * NANOS_PER_MILLI);
+    return (long) (selector.responseTimes().workMillis(service).orElse(0) * NANOS_PER_MILLI);
   }
 
   /** Estimated wait of a request that arrives now, in ms. */
   double forecastMillis(String service, List<ServingEngine> engines) {
     double slots = engines.stream().mapToInt(ServingEngine::slots).sum();
-    double perRequest = selector.stays().workMillis(service).orElse(0) / Math.max(1, slots);
+    double perRequest = selector.responseTimes().workMillis(service).orElse(0) / Math.max(1, slots);
     return nodes * (1 + waiting.size(service)) * perRequest;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeoutPolicy.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeoutPolicy.java
@@ -10,9 +10,16 @@
  */
 final class AttemptTimeoutPolicy {
 
+  /** Part of a run's timeout that does not depend on the load, in target latencies of its route. */
   private static final double RUN_TARGETS = 2.0;
+
+  /** Factor for the expected time in the timeout of a run. */
   private static final double RUN_FACTOR = 2.0;
+
+  /** Factor for the expected time in the timeout of a prefill. */
   private static final double PREFILL_FACTOR = 3.0;
+
+  /** Part of a prefill's timeout that does not depend on the expected time. */
   private static final long PREFILL_BASE_NANOS = Duration.ofMillis(300).toNanos();
 
   /**
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -32,6 +32,8 @@
 public final class Dispatcher {
 
   private static final double NANOS_PER_MILLI = 1e6;
+
+  /** KV cache of an engine, in tokens, where the profile of its service is not known. */
   private static final long DEFAULT_CACHE_TOKENS = 400_000;
 
   private DispatchParameters parameters;
@@ -191,7 +193,8 @@
 
   /**
    * The stage change that this node should order now, if any; called about every 100 ms. The caller
-   * reports the outcome through one of the next three methods.
+   * reports that it orders the change by {@link #onStageChangeBegun}, and that it cannot or gets no
+   * answer through {@link #stages}.
    */
   public Optional<StageChange> wantedStageChange(long nowNanos) {
     return routing.flatMap(image -> stages.onTick(image.services(), nowNanos));
@@ -354,17 +357,17 @@
               load.health().onSuccess(nowNanos);
               load.onAnswered(progress);
             });
-    observeServiceTime(progress, nowNanos);
+    observeResponseTime(progress, nowNanos);
     quarantine.onSuccess(progress.content(), nowNanos);
     release(progress, true);
   }
 
-  private void observeServiceTime(RequestProgress progress, long nowNanos) {
+  private void observeResponseTime(RequestProgress progress, long nowNanos) {
     double millis = (nowNanos - progress.sentNanos()) / NANOS_PER_MILLI;
     boolean crowded =
         progress.engine().stream()
             .anyMatch(engine -> selector.running(engine, nowNanos) > engine.slots());
-    selector.stays().observe(progress.service(), millis, crowded);
+    selector.responseTimes().observe(progress.service(), millis, crowded);
   }
 
   /** The caller left or its deadline passed; this says nothing about the engine. */
@@ -425,9 +428,9 @@
   }
 
   /**
-   * Every send to an engine goes through this method. It stops a content that has crashed several
-   * engines before each send: sent on under every new id, one such content ended all requests that
-   * ran beside it, at 20 engines in 14 s.
+   * Every send to an engine goes through this method. Before each send it stops a content that has
+   * crashed several engines: sent on under every new id, one such content crashed 20 engines in 14
+   * s and ended all requests that ran beside it.
    */
   private Decision place(RequestProgress progress, boolean mayPrefill, long nowNanos) {
     QuarantineStatus status = quarantine.status(progress.content(), nowNanos);
@@ -443,7 +446,7 @@
   }
 
   private Decision placeByCost(RequestProgress progress, boolean mayPrefill, long nowNanos) {
-    selector.onAsked(progress.service(), nowNanos);
+    selector.onPlacing(progress.service(), nowNanos);
     notices.reportedLoads().takeAll(pace::onLoadReported);
     if (progress.envelope().prompt().isEmpty()) {
       return placeApplication(progress, nowNanos);
@@ -474,7 +477,7 @@
     if (waiting.waitForRoom() && queue.mustWait(progress, engines, nowNanos)) {
       return waitForRoom(progress, engines, nowNanos);
     }
-    ServingEngine engine = selector.leastFilled(progress, engines, waiting, nowNanos);
+    ServingEngine engine = selector.chooseByWaterFilling(progress, engines, waiting, nowNanos);
     return runApplication(progress, engine, nowNanos);
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -32,7 +32,10 @@
  */
 final class EngineSelector {
 
+  /** Cost of an engine in another zone, in the unit of relative load: requests per capacity. */
   private static final double OTHER_ZONE_RUN_COST = 0.03;
+
+  /** Cost of an engine that fails every answer, in the unit of relative load. */
   private static final double FAILURE_RUN_COST = 1.0;
 
   /**
@@ -52,7 +55,7 @@
   private final EngineNotices notices;
   private final EnginePace pace;
   private final RecentDepartures departures;
-  private final ResponseTimes stays = new ResponseTimes();
+  private final ResponseTimes responseTimes = new ResponseTimes();
   private final ChangingEngines changing = new ChangingEngines();
   private EngineDirectory directory = EngineDirectory.empty();
 
@@ -150,11 +153,18 @@
     return engine.stage() == EngineStage.PREFILL ? EngineStage.DECODE : EngineStage.PREFILL;
   }
 
+  /**
+   * Marks an engine as changing its stage by order of this node.
+   *
+   * @param stage the stage that it is changing to
+   * @param untilNanos when the mark lapses
+   */
   void beginChange(ServingEngine engine, EngineStage stage, long untilNanos) {
     load(engine);
     changing.begin(engine.id(), stage, untilNanos);
   }
 
+  /** Removes the mark of an engine that has changed its stage, or will not. */
   void endChange(ServingEngine engine) {
     changing.end(engine.id());
   }
@@ -201,7 +211,7 @@
    * Notes that a request of the service is about to be placed, which any of its engines with room
    * may get.
    */
-  void onAsked(String service, long nowNanos) {
+  void onPlacing(String service, long nowNanos) {
     for (ServingEngine engine : directory.ofService(service)) {
       notices.limits().onAsked(engine.id(), nowNanos);
     }
@@ -319,9 +329,9 @@
                                 RendezvousHash.weight(part.id(), right.id()))));
   }
 
-  /** How long application requests take at the engines; whoever sees them end records it. */
-  ResponseTimes stays() {
-    return stays;
+  /** How long requests take at the engines of each service; whoever sees them end records it. */
+  ResponseTimes responseTimes() {
+    return responseTimes;
   }
 
   /**
@@ -331,7 +341,7 @@
    *
    * @param engines engines that may run the request; at least one
    */
-  ServingEngine leastFilled(
+  ServingEngine chooseByWaterFilling(
       RequestProgress progress,
       List<ServingEngine> engines,
       WaitingParameters waiting,
@@ -341,7 +351,9 @@
     int runningByPeers = engines.stream().mapToInt(e -> peerLoads.running(e.id(), nowNanos)).sum();
     double lag = Math.max(MEAN_REPORT_AGE_MILLIS, lagMillis(nowNanos));
     double expectedFromOthers =
-        waiting.evenFill() ? stays.arrivalsWithin(progress.service(), runningByPeers, lag) : 0;
+        waiting.evenFill()
+            ? responseTimes.arrivalsWithin(progress.service(), runningByPeers, lag)
+            : 0;
     double draw = RendezvousHash.draw(progress.envelope().requestId(), progress.service());
     return engines.get(WaterFilling.choose(engineFills, expectedFromOthers, draw));
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -25,6 +25,7 @@
   /** Time for the second call and for the start of the KV cache transfer. */
   private static final double SECOND_CALL_MILLIS = 8;
 
+  /** Cost of an engine in another zone, in ms. */
   private static final double OTHER_ZONE_MILLIS = 3;
 
   /**
@@ -100,7 +101,8 @@
 
   /**
    * A late prompt goes behind all others only if its expected time, multiplied by this factor, is
-   * within its caller's remaining time: more prompts that go ahead of it may arrive.
+   * within its caller's remaining time, so that half of that time is left for prompts that arrive
+   * later and go ahead of it.
    */
   private static final double YIELDING_MARGIN = 2;
 
@@ -427,9 +429,9 @@
     if (over == 0 || input.progress().source().isEmpty()) {
       return over * SECOND_CALL_MILLIS;
     }
-    double stay = selector.stays().workMillis(input.progress().service()).orElse(0);
+    double workMillis = selector.responseTimes().workMillis(input.progress().service()).orElse(0);
     double slowness = selector.slowness(engine, WorkKind.DECODING, input.nowNanos());
-    return over * Math.max(SECOND_CALL_MILLIS, slowness * stay / Math.max(1, engine.slots()));
+    return over * Math.max(SECOND_CALL_MILLIS, slowness * workMillis / Math.max(1, engine.slots()));
   }
 
   /**
@@ -446,7 +448,7 @@
         engine.slots(),
         input.progress().cacheTokens(),
         input.profile().get().cacheTokens(),
-        selector.stays().workMillis(input.progress().service()).orElse(0));
+        selector.responseTimes().workMillis(input.progress().service()).orElse(0));
   }
 
   private double commonMillis(Input input, ServingEngine engine, String nearZone) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Refusals.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Refusals.java
@@ -29,7 +29,7 @@
   private static final double MAX_RETRY_FRACTION = 0.3;
 
   /**
-   * The retry delay is spread at random from this part of it to the whole, so that callers that are
+   * The retry delay is drawn from the second half of the computed time, so that callers that are
    * refused together do not come back together.
    */
   private static final double MIN_RETRY_SPREAD = 0.5;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryBudget.java
@@ -36,8 +36,8 @@
   private static final double STEADY_SLACK_FRACTION = 1 - STARTING_SLACK_FRACTION;
 
   /**
-   * Fraction of the budget for requests that are already late, so that the rest is left for those
-   * that can still be in time.
+   * Fraction of the budget for requests that are already late, so that the other half is left for
+   * those that can still be in time.
    */
   private static final double LATE_FRACTION = 0.5;
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
@@ -25,7 +25,14 @@
   private static final int MIN_NODE_COUNT = 6;
 
   private static final int MAX_PREFILL_ATTEMPTS = 2;
+
+  /**
+   * Sends of a run that are allowed beyond the route's attempts, since engines may reject a send or
+   * never receive it.
+   */
   private static final int MAX_SENDS_BEYOND_RUNS = 2;
+
+  /** With less time left, no further attempt is made. */
   private static final Duration MIN_TIME_FOR_ATTEMPT = Duration.ofMillis(10);
 
   private final Map<String, RetryBudget> budgets = new HashMap<>();
