--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -56,7 +56,7 @@
         heardAgoMillis(load, nowNanos),
         leavesUnlisted(id, listed) ? 1 : 0,
         notices.limits().digest(id, nowNanos),
-        pace.lately(id, nowNanos));
+        pace.recent(id, nowNanos));
   }
 
   /** Asked of all engines at each turn, most of which this node does not use just now. */
@@ -67,7 +67,7 @@
         || selector.isChangingStage(id)
         || leavesUnlisted(id, listed)
         || !notices.limits().digest(id, nowNanos).isNegligible()
-        || !pace.lately(id, nowNanos).isNegligible();
+        || !pace.recent(id, nowNanos).isNegligible();
   }
 
   /** Whether an engine leaves without saying so in its entry: others may not know it yet. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -76,11 +76,11 @@
   }
 
   /** What this node's requests say of an engine, for the other nodes. */
-  RecentPace lately(String engineId, long nowNanos) {
+  RecentPace recent(String engineId, long nowNanos) {
     WorkKind kind = kinds.get(engineId);
     return !enabled || kind == null
         ? RecentPace.NONE
-        : learned.lately(engineId, kind, nowNanos).dropIfNegligible();
+        : learned.recent(engineId, kind, nowNanos).dropIfNegligible();
   }
 
   /** Engines whose state has changed since the last call. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -147,7 +147,7 @@
       dispatcher.setParameters(changed.parameters());
     } else if (event instanceof DispatchEvent.UsageReported reported) {
       runs.onReported(reported.window());
-    } else if (event instanceof DispatchEvent.BaselineKnown known) {
+    } else if (event instanceof DispatchEvent.InitialCountsKnown known) {
       scaling.onInitialCounts(known.service(), known.byZone());
     } else if (event instanceof DispatchEvent.ScaleOrderAnswered answered) {
       scaling.onAnswer(answered.order(), answered.outcome(), now);
