--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -164,7 +164,7 @@
     changing.begin(engine.id(), stage, untilNanos);
   }
 
-  /** Removes the mark of an engine that has changed its stage, or will not. */
+  /** Removes the mark, because the order was not given or was refused. */
   void endChange(ServingEngine engine) {
     changing.end(engine.id());
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
@@ -39,8 +39,8 @@
   private static final double MIN_RETRY_SPREAD = 0.7;
 
   /**
-   * The expected time must exceed the remaining time by this factor, since the engine does not read
-   * prompts ahead whose callers leave.
+   * The expected time must exceed the remaining time by this factor, since prompts ahead are not
+   * read if their callers leave.
    */
   private static final double FORECAST_MARGIN = 1.3;
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -483,7 +483,7 @@
 
   /**
    * Range of the random spread over plans, in ms. Plans whose costs differ by less than this node
-   * can know are told apart by the spread; otherwise all nodes would take the engine that was least
+   * can know are ranked by the spread; otherwise all nodes would take the engine that was least
    * loaded a moment ago. Requests that others have placed and this node does not know of keep an
    * engine busy for at most the reporting lag, if engines are busy at all.
    */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
@@ -121,6 +121,7 @@
     return triedEngines.contains(candidate.id());
   }
 
+  /** Prompt tokens that count toward the engine's backlog; 0 once the prompt has been read. */
   int chargedTokens() {
     return chargedTokens;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
@@ -2,7 +2,7 @@
 
 /** Why an attempt that has brought no part of an answer is given up. */
 public enum StuckReason {
-  /** No other request tells whether the engine works. */
+  /** No other request shows whether the engine works. */
   NO_ANSWER,
   /** This node or several others suspect the engine, and it answers no request. */
   ENGINE_SUSPECTED,
