--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -105,7 +105,7 @@
    * its entry says.
    */
   public EngineDirectory directory() {
-    return listedEngines.withLeaving(notices::leaves);
+    return listedEngines.withLeaving(notices::isLeaving);
   }
 
   /**
