--- a/fallturn-core/src/main/java/org/fallturn/core/pace/BaselinePace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/BaselinePace.java
@@ -1,15 +1,21 @@
 package org.fallturn.core.pace;
 
 /**
- * What is usual for one kind of work at all engines of a service, against what was expected: faults
- * of the expectation that are the same at all of them are no news of any. One thread calls.
+ * Running mean of the time that one kind of work takes at all engines of a service, relative to the
+ * expected time. Errors of the expectation that are the same at all engines cancel out here and say
+ * nothing about a single engine.
+ *
+ * <p>One thread calls.
  */
 final class BaselinePace {
 
-  /** Before, nothing is said of an engine. */
+  /** Minimum number of samples before deviations from the mean are used. */
   private static final int ENOUGH_SAMPLES = 4;
 
-  /** Later samples count as one of so many: what is usual changes with the load. */
+  /**
+   * Caps the sample count so that the mean follows changes of load: every later sample counts as
+   * one of so many.
+   */
   private static final int MEMORY_SAMPLES = 64;
 
   private double mean;
@@ -19,7 +25,7 @@
     return samples >= ENOUGH_SAMPLES;
   }
 
-  /** By how much a sample differs from what is usual. */
+  /** Returns the bounded difference between a sample and the mean, both as natural logarithms. */
   double deviation(double log) {
     return PaceBounds.bounded(log - mean);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
@@ -1,78 +1,96 @@
 package org.fallturn.core.pace;
 
-/** What is known of the pace of one engine at one kind of work. One thread calls. */
+/**
+ * Pace estimate of one engine for one kind of work.
+ *
+ * <p>It combines the long-term mean, the short-term deviation from it and the pace that the engine
+ * reports. One thread calls.
+ */
 final class EngineEstimate {
 
-  private final LongTermPace lasting = new LongTermPace();
-  private final ReportedPace own = new ReportedPace();
+  private final LongTermPace longTerm = new LongTermPace();
+  private final ReportedPace reported = new ReportedPace();
   private RecentPace recent = RecentPace.NONE;
-  private long latelyNanos;
+  private long recentAtNanos;
   private PaceState state = PaceState.USUAL;
 
-  ReportedPace own() {
-    return own;
+  ReportedPace reported() {
+    return reported;
   }
 
-  LongTermPace lasting() {
-    return lasting;
+  LongTermPace longTerm() {
+    return longTerm;
   }
 
-  /** This node's samples that have not faded. */
+  /** Returns this node's recent samples, decayed to the given time. */
   RecentPace recent(long nowNanos) {
-    return recent.aged(nowNanos - latelyNanos);
+    return recent.aged(nowNanos - recentAtNanos);
   }
 
   /**
-   * What is believed of it.
+   * Returns the current forecast for this engine.
    *
-   * @param told by others
-   * @param kind what is known of all engines
+   * @param peerPace recent samples of the other nodes
+   * @param kind state shared by all engines for this kind of work
+   * @param nowNanos current time of the steady clock
    */
-  PaceForecast forecast(RecentPace told, WorkKindPace kind, long nowNanos) {
-    double mean = lasting.log(kind.usualSamples(), nowNanos);
-    RecentPace all = recent(nowNanos).and(told);
-    double moment = (all.sum() - all.samples() * (mean + kind.common())) / (all.samples() + 1);
-    double estimate = mean + kind.momentWeight().get() * moment;
-    double weight = own.weight(nowNanos);
-    double together =
-        own.log().isPresent()
-            ? weight * own.log().getAsDouble() + (1 - weight) * estimate
+  PaceForecast forecast(RecentPace peerPace, WorkKindPace kind, long nowNanos) {
+    double mean = longTerm.log(kind.priorSamples(), nowNanos);
+    RecentPace combined = recent(nowNanos).and(peerPace);
+    double shortTerm =
+        (combined.sum() - combined.samples() * (mean + kind.common())) / (combined.samples() + 1);
+    double estimate = mean + kind.shortTermWeight().get() * shortTerm;
+    double weight = reported.weight(nowNanos);
+    double combinedLog =
+        reported.log().isPresent()
+            ? weight * reported.log().getAsDouble() + (1 - weight) * estimate
             : estimate;
-    return new PaceForecast(mean, moment, own.log(), PaceBounds.worthGoingBy(together));
+    return new PaceForecast(
+        mean, shortTerm, reported.log(), PaceBounds.clampToSlowdown(combinedLog));
   }
 
   /**
-   * Takes a sample of this node.
+   * Adds a sample of this node.
    *
-   * @param log against what is usual
-   * @param common part of it that is the same at all engines now
+   * @param log natural logarithm of the factor against the baseline
+   * @param common part of {@code log} that is currently the same at all engines
+   * @param sample the sample
+   * @param nowNanos current time of the steady clock
    */
   void onSample(double log, double common, PaceSample sample, long nowNanos) {
-    double apart = log - common;
-    sample.forecast().own().ifPresent(word -> own.onOutcome(word, lasting.mean(), apart));
-    double difference = apart - lasting.mean();
-    lasting.add(apart, sample.weight(), difference * difference, nowNanos);
+    double engineLog = log - common;
+    sample
+        .forecast()
+        .reported()
+        .ifPresent(reportedLog -> reported.onOutcome(reportedLog, longTerm.mean(), engineLog));
+    double difference = engineLog - longTerm.mean();
+    longTerm.add(engineLog, sample.weight(), difference * difference, nowNanos);
     recent = recent(nowNanos).with(log, sample.weight());
-    latelyNanos = nowNanos;
+    recentAtNanos = nowNanos;
   }
 
   /**
-   * Other nodes' samples are told until they have faded: of each, the part that has passed since
-   * the last turn is taken.
+   * Adds samples of the other nodes. Peers send the same samples repeatedly until these have
+   * decayed, so each call takes only the part that corresponds to the time since the last call.
+   *
+   * @param peerPace recent samples of the other nodes
+   * @param common part of their logarithms that is currently the same at all engines
+   * @param passedNanos time since the last call
+   * @param nowNanos current time of the steady clock
    */
-  void onPeerReport(RecentPace told, double common, long passedNanos, long nowNanos) {
-    double weight = told.samples() * Math.min(1, (double) passedNanos / RecentPace.FADE_NANOS);
+  void onPeerReport(RecentPace peerPace, double common, long passedNanos, long nowNanos) {
+    double weight = peerPace.samples() * Math.min(1, (double) passedNanos / RecentPace.DECAY_NANOS);
     if (weight > 0) {
-      double apart = told.mean() - common;
-      double difference = apart - lasting.mean();
-      lasting.add(apart, weight, told.samples() * difference * difference, nowNanos);
+      double engineLog = peerPace.mean() - common;
+      double difference = engineLog - longTerm.mean();
+      longTerm.add(engineLog, weight, peerPace.samples() * difference * difference, nowNanos);
     }
   }
 
-  /** Whether its state changed since the last call. */
-  boolean takeChange(double usualSamples, long nowNanos) {
+  /** Updates the state and returns whether it has changed since the last call. */
+  boolean takeChange(double priorSamples, long nowNanos) {
     PaceState before = state;
-    state = before.next(Math.exp(lasting.log(usualSamples, nowNanos)));
+    state = before.next(Math.exp(longTerm.log(priorSamples, nowNanos)));
     return state != before;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/EnginePace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/EnginePace.java
@@ -1,22 +1,24 @@
 package org.fallturn.core.pace;
 
 /**
- * Says how long work takes at an engine now, against what is usual for its service.
+ * Tells how long work currently takes at an engine compared with what is usual for its service.
  *
- * <p>Whoever asks must serve as before where nothing is known: an engine of which nothing was heard
- * works as usual. One thread calls.
+ * <p>An engine without samples has the factor 1: callers must then decide as they would without
+ * pace. One thread calls.
  */
 @FunctionalInterface
 public interface EnginePace {
 
-  /** All engines of a service are alike. */
+  /** Treats all engines of a service as equally fast. */
   EnginePace UNIFORM = (engineId, kind, nowNanos) -> 1;
 
   /**
-   * Factor by which work takes longer there than usual.
+   * Returns the factor by which work takes longer at an engine than usual.
    *
-   * @param engineId one start of an engine
-   * @return 1 as usual, 2 where it takes twice as long; above 0
+   * @param engineId id of one incarnation of an engine
+   * @param kind kind of work
+   * @param nowNanos current time of the steady clock
+   * @return 1 when the engine is as fast as usual, 2 when work takes twice as long; above 0
    */
   double slowness(String engineId, WorkKind kind, long nowNanos);
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/LongTermPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/LongTermPace.java
@@ -1,75 +1,84 @@
 package org.fallturn.core.pace;
 
 /**
- * What one engine is, apart from what it is now: the mean of its samples, drawn to the usual as far
- * as {@link ShrinkagePrior} says that engines are alike. It lasts for as many samples as it is made
- * of and, where none come, for as long as those took to come. One thread calls.
+ * Long-term pace of one engine: the mean of its samples, shrunk towards the usual pace with the
+ * weight that {@link ShrinkagePrior} gives.
+ *
+ * <p>The estimate keeps the weight of the last {@link #MEMORY_SAMPLES} samples. When no samples
+ * arrive it is kept for as long as that many samples take to arrive, and decays exponentially
+ * afterwards. One thread calls.
  */
 final class LongTermPace {
 
-  /** The newest count as one of so many, so that an engine that has changed is known anew. */
+  /** Maximum weight that is kept, so that the estimate follows an engine that has changed. */
   private static final double MEMORY_SAMPLES = 256;
 
   private double sum;
   private double samples;
   private double squares;
-  private double gapNanos;
+  private double meanIntervalNanos;
   private long lastNanos;
 
   /**
-   * Takes the mean of some samples.
+   * Adds the mean of some samples.
    *
-   * @param weight of how many, of which parts may be taken
-   * @param variance of single samples that it shows
+   * @param log mean of their natural logarithms
+   * @param weight how many samples it stands for; may be a fraction
+   * @param variance variance of single samples that they indicate
+   * @param nowNanos current time of the steady clock
    */
   void add(double log, double weight, double variance, long nowNanos) {
-    fade(nowNanos);
+    decay(nowNanos);
     if (samples > 0) {
-      double gap = (nowNanos - lastNanos) / weight;
-      gapNanos += (gap - gapNanos) * weight / (samples + weight);
+      double intervalNanos = (nowNanos - lastNanos) / weight;
+      meanIntervalNanos += (intervalNanos - meanIntervalNanos) * weight / (samples + weight);
     }
     lastNanos = nowNanos;
-    double left = Math.min(1, MEMORY_SAMPLES / (samples + weight));
-    sum = left * (sum + weight * log);
-    squares = left * (squares + weight * variance);
-    samples = left * (samples + weight);
+    double retained = Math.min(1, MEMORY_SAMPLES / (samples + weight));
+    sum = retained * (sum + weight * log);
+    squares = retained * (squares + weight * variance);
+    samples = retained * (samples + weight);
   }
 
-  private void fade(long nowNanos) {
-    double left = left(nowNanos);
-    sum *= left;
-    squares *= left;
-    samples *= left;
+  private void decay(long nowNanos) {
+    double retained = retained(nowNanos);
+    sum *= retained;
+    squares *= retained;
+    samples *= retained;
   }
 
-  /** What is left of the samples: all for as long as they took to come, then soon less. */
-  private double left(long nowNanos) {
-    double lasts = gapNanos * MEMORY_SAMPLES;
+  /**
+   * Returns the share of the samples that is retained: all of it at first, less after a long idle
+   * time.
+   */
+  private double retained(long nowNanos) {
+    double retentionNanos = meanIntervalNanos * MEMORY_SAMPLES;
     double idle = nowNanos - lastNanos;
-    return idle <= lasts || lasts == 0 ? 1 : Math.exp(1 - idle / lasts);
+    return idle <= retentionNanos || retentionNanos == 0 ? 1 : Math.exp(1 - idle / retentionNanos);
   }
 
-  /** The mean as it was seen. */
+  /** Returns the observed mean, without shrinkage. */
   double mean() {
     return samples > 0 ? sum / samples : 0;
   }
 
   double samples(long nowNanos) {
-    return left(nowNanos) * samples;
+    return retained(nowNanos) * samples;
   }
 
-  /** How much single samples vary. */
+  /** Returns the variance of single samples. */
   double variance() {
     return samples > 0 ? squares / samples : 0;
   }
 
   /**
-   * The natural logarithm of the factor that is gone by.
+   * Returns the estimate as the natural logarithm of a factor.
    *
-   * @param usualSamples samples that speak for the usual pace from the start
+   * @param priorSamples number of samples that the usual pace counts for
+   * @param nowNanos current time of the steady clock
    */
-  double log(double usualSamples, long nowNanos) {
-    double left = left(nowNanos);
-    return left * sum / (left * samples + usualSamples);
+  double log(double priorSamples, long nowNanos) {
+    double retained = retained(nowNanos);
+    return retained * sum / (retained * samples + priorSamples);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceBounds.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceBounds.java
@@ -1,32 +1,34 @@
 package org.fallturn.core.pace;
 
 /**
- * How far any one piece of news is believed, so that one outlier says no more than a bad engine.
+ * Limits the effect of any single sample or report, so that one outlier weighs no more than a bad
+ * engine.
  */
 final class PaceBounds {
 
-  /** Engines that differ by more are avoided all the same. */
-  private static final double MOST = Math.log(4);
+  /** Upper bound for the factor. An engine that is slower than this is avoided all the same. */
+  private static final double MAX_LOG = Math.log(4);
 
-  /** Factors nearer to 1 are taken to be 1. */
-  static final double LEAST = Math.log(1.1);
+  /** Factors closer to 1 than this count as 1. */
+  static final double MIN_LOG = Math.log(1.1);
 
   private PaceBounds() {}
 
   /**
-   * What is gone by: an engine is passed over for being slow, and none is preferred for being fast.
-   * All nodes would else take the one engine that seems a little faster, and at the same moment.
+   * Returns the logarithm that decisions use: a slow engine is penalized, but no engine is
+   * preferred for being fast. Otherwise all nodes would choose the one engine that seems a little
+   * faster, and at the same moment.
    */
-  static double worthGoingBy(double log) {
-    return log < LEAST ? 0 : bounded(log);
+  static double clampToSlowdown(double log) {
+    return log < MIN_LOG ? 0 : bounded(log);
   }
 
-  /** The natural logarithm of a factor. */
+  /** Returns the bounded natural logarithm of a factor. */
   static double log(double factor) {
-    return factor > 0 ? bounded(Math.log(factor)) : -MOST;
+    return factor > 0 ? bounded(Math.log(factor)) : -MAX_LOG;
   }
 
   static double bounded(double log) {
-    return Math.max(-MOST, Math.min(MOST, log));
+    return Math.max(-MAX_LOG, Math.min(MAX_LOG, log));
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceForecast.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceForecast.java
@@ -3,21 +3,22 @@
 import java.util.OptionalDouble;
 
 /**
- * What was believed of an engine's pace when work was sent there, so that the ways of knowing it
- * can be judged by what came. All are natural logarithms of factors. Immutable.
+ * Forecast of an engine's pace at the time work was sent there. It is kept so that the outcome can
+ * be compared with each of its parts. All values are natural logarithms of factors. Immutable.
  *
- * @param lasting what the engine is
- * @param moment by how much it seems to differ from that now
- * @param own what the engine says of itself
- * @param all what was gone by
+ * @param longTerm long-term pace of the engine
+ * @param shortTerm current deviation from the long-term pace
+ * @param reported pace that the engine reports about itself
+ * @param combined value that decisions used
  */
-public record PaceForecast(double lasting, double moment, OptionalDouble own, double all) {
+public record PaceForecast(
+    double longTerm, double shortTerm, OptionalDouble reported, double combined) {
 
-  /** Nothing is known. */
+  /** Forecast for an engine without samples. */
   static final PaceForecast NONE = new PaceForecast(0, 0, OptionalDouble.empty(), 0);
 
-  /** The factor that was gone by. */
+  /** Returns the factor that decisions used. */
   public double slowness() {
-    return Math.exp(all);
+    return Math.exp(combined);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceSample.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceSample.java
@@ -1,15 +1,17 @@
 package org.fallturn.core.pace;
 
 /**
- * A piece of work that an engine has done.
+ * Time that one finished piece of work took at an engine.
  *
- * @param engineId one start of an engine
- * @param kind whose pace it tells
- * @param work what is compared with each other: the same work of one service
- * @param millis how long it took
- * @param expectedMillis how long it should have taken where all engines are alike, up to a factor
- * @param weight 1 where the time was this work's alone, less where it is in part that of others
- * @param forecast what was believed when it was sent
+ * @param engineId id of one incarnation of an engine
+ * @param kind kind of work that the sample is for
+ * @param work key of comparable work: the same work of one service
+ * @param millis measured time in ms
+ * @param expectedMillis time in ms that the work should take if all engines were alike, up to a
+ *     constant factor
+ * @param weight 1 when the time was spent on this work alone, less when part of it was spent on
+ *     other work
+ * @param forecast forecast at the time the work was sent
  */
 public record PaceSample(
     String engineId,
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceState.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceState.java
@@ -1,6 +1,6 @@
 package org.fallturn.core.pace;
 
-/** What an engine is called, for logs and figures. */
+/** Classification of an engine's pace for logs and metrics. */
 public enum PaceState {
   /** Faster than the others of its service. */
   FAST,
@@ -9,14 +9,14 @@
   /** Slower than the others. */
   SLOW;
 
-  private static final double BEGINS = 1.2;
+  private static final double START_FACTOR = 1.2;
 
-  /** Less than what begins it, so that it does not change to and fro. */
-  private static final double ENDS = 1.1;
+  /** Lower than the factor that starts the state, so that the state does not flap. */
+  private static final double END_FACTOR = 1.1;
 
   PaceState next(double slowness) {
-    double slowBound = this == SLOW ? ENDS : BEGINS;
-    double fastBound = this == FAST ? ENDS : BEGINS;
+    double slowBound = this == SLOW ? END_FACTOR : START_FACTOR;
+    double fastBound = this == FAST ? END_FACTOR : START_FACTOR;
     if (slowness >= slowBound) {
       return SLOW;
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PeerPaces.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PeerPaces.java
@@ -1,12 +1,12 @@
 package org.fallturn.core.pace;
 
-/** What the other nodes tell of the pace of engines. */
+/** Source of the recent pace samples that the other nodes report. */
 @FunctionalInterface
 public interface PeerPaces {
 
-  /** Nobody is heard. */
-  PeerPaces NOBODY = (engineId, nowNanos) -> RecentPace.NONE;
+  /** Source without any samples. */
+  PeerPaces NONE = (engineId, nowNanos) -> RecentPace.NONE;
 
-  /** What they said lately of an engine, as old as it is now. */
+  /** Returns the other nodes' recent samples of an engine, decayed to the given time. */
   RecentPace of(String engineId, long nowNanos);
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/RecentPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/RecentPace.java
@@ -3,72 +3,83 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What work that ended lately says of the pace of one engine. Samples fade, so that the words that
- * are told again and again until they have faded count each sample about once. Immutable.
+ * Recent pace samples of one engine in summarized form.
  *
- * @param sum of the natural logarithms of the factors by which work took longer than usual
- * @param samples how many there were, as far as they have not faded
+ * <p>Samples decay exponentially. A node sends them to the others repeatedly until they have
+ * decayed, and the receivers take a part of each message, so that each sample counts about once.
+ * Immutable.
+ *
+ * @param sum sum of the natural logarithms of the factors by which work took longer than usual
+ * @param samples number of samples that remain after the decay
  */
 public record RecentPace(double sum, double samples) {
 
-  /** Nothing ended lately. */
+  /** No recent samples. */
   public static final RecentPace NONE = new RecentPace(0, 0);
 
-  /** Nodes tell each other every 100 ms, and one message of three may be lost. */
-  static final long FADE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  /**
+   * Time constant of the decay. Nodes send messages every 100 ms, and one message in three may be
+   * lost.
+   */
+  static final long DECAY_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** What is left of a sample when it is not worth a place in a message any more. */
-  private static final double LEAST_SAMPLES = 0.3;
+  /** Number of samples below which the summary is not worth its space in a message. */
+  private static final double MIN_SAMPLES = 0.3;
 
-  /** Factors nearer to 1 than this are not told. */
-  private static final double LEAST_DIFFERENCE = PaceBounds.LEAST;
+  /** Factors closer to 1 than this are not sent. */
+  private static final double MIN_DIFFERENCE = PaceBounds.MIN_LOG;
 
   private static final double PERCENT = 100;
   private static final double TENTHS = 10;
 
-  /** A word as it was told. */
+  /**
+   * Decodes a summary from a message.
+   *
+   * @param percent mean factor in percent; 100 is usual
+   * @param tenthsOfSamples number of samples in tenths
+   */
   public static RecentPace of(int percent, int tenthsOfSamples) {
     double samples = Math.max(0, tenthsOfSamples) / TENTHS;
     return new RecentPace(samples * PaceBounds.log(percent / PERCENT), samples);
   }
 
-  /** The mean factor in percent; 100 as usual. */
+  /** Returns the mean factor in percent; 100 is usual. */
   public int percent() {
     return (int) Math.round(PERCENT * Math.exp(mean()));
   }
 
-  /** Tenths of samples. */
+  /** Returns the number of samples in tenths. */
   public int tenthsOfSamples() {
     return (int) Math.round(TENTHS * samples);
   }
 
-  /** Mean of the logarithms. */
+  /** Returns the mean of the logarithms. */
   double mean() {
     return samples > 0 ? sum / samples : 0;
   }
 
-  /** Whether it is not worth telling. */
+  /** Returns whether the summary is not worth sending. */
   public boolean isNegligible() {
-    return samples < LEAST_SAMPLES || Math.abs(mean()) < LEAST_DIFFERENCE;
+    return samples < MIN_SAMPLES || Math.abs(mean()) < MIN_DIFFERENCE;
   }
 
-  /** The same, or none where it is not worth telling. */
+  /** Returns this summary, or {@link #NONE} when it is not worth sending. */
   public RecentPace dropIfNegligible() {
     return isNegligible() ? NONE : this;
   }
 
-  /** Both together. */
+  /** Returns the sum of both summaries. */
   public RecentPace and(RecentPace other) {
     return other.samples == 0 ? this : new RecentPace(sum + other.sum, samples + other.samples);
   }
 
-  /** The same so much later. */
+  /** Returns this summary after the given time has passed. */
   public RecentPace aged(long nanos) {
     if (samples == 0 || nanos <= 0) {
       return this;
     }
-    double left = Math.exp(-(double) nanos / FADE_NANOS);
-    return new RecentPace(sum * left, samples * left);
+    double retained = Math.exp(-(double) nanos / DECAY_NANOS);
+    return new RecentPace(sum * retained, samples * retained);
   }
 
   RecentPace with(double log, double weight) {
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/ReportedPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ReportedPace.java
@@ -3,62 +3,74 @@
 import java.util.OptionalDouble;
 
 /**
- * What one engine says of its own pace, and how far it is believed: wholly at first, and less each
- * time that work took much longer or shorter and this node's own estimate was nearer. A word stays
- * fresh for as long as the engine takes to say the next. One thread calls.
+ * Pace that one engine reports about itself, with the trust that this node puts in it.
+ *
+ * <p>Trust starts at 1. It falls each time the work took a time far from the report, or one that
+ * was much closer to this node's own estimate, and recovers with each report that was right. A
+ * report stays fresh for as long as the engine usually takes to send the next one. One thread
+ * calls.
  */
 final class ReportedPace {
 
-  /** What a word that was wrong leaves of the trust in the next. */
-  private static final double KEPT_WHEN_WRONG = 0.7;
+  /** Share of the trust that remains after a wrong report. */
+  private static final double TRUST_KEPT_WHEN_WRONG = 0.7;
 
-  /** Trust that a word which was right gives back, as a part of what is missing. */
-  private static final double REGAINED = 0.1;
+  /** Share of the missing trust that a right report restores. */
+  private static final double TRUST_REGAINED = 0.1;
 
-  /** By how much nearer the estimate must be: single times vary. */
+  /** Margin by which the estimate must be closer than the report, since single times vary. */
   private static final double MARGIN = Math.log(1.5);
 
   private double log;
   private double trust = 1;
-  private double gapNanos;
+  private double meanIntervalNanos;
   private long lastNanos;
-  private boolean said;
+  private boolean reported;
 
-  void say(double newLog, long atNanos) {
-    if (said && atNanos - lastNanos > 0) {
-      double gap = atNanos - lastNanos;
-      gapNanos = gapNanos == 0 ? gap : (gapNanos + gap) / 2;
+  void update(double newLog, long atNanos) {
+    if (reported && atNanos - lastNanos > 0) {
+      double intervalNanos = atNanos - lastNanos;
+      meanIntervalNanos =
+          meanIntervalNanos == 0 ? intervalNanos : (meanIntervalNanos + intervalNanos) / 2;
     }
-    said = true;
+    reported = true;
     log = newLog;
     lastNanos = atNanos;
   }
 
-  /** The word; empty where none was said. */
+  /**
+   * Returns the reported pace as a natural logarithm; empty when the engine has not reported any.
+   */
   OptionalDouble log() {
-    return said ? OptionalDouble.of(log) : OptionalDouble.empty();
+    return reported ? OptionalDouble.of(log) : OptionalDouble.empty();
   }
 
-  /** How much it counts, against the estimate; 0 to 1. */
+  /** Returns the weight of the report against the estimate, 0 to 1. */
   double weight(long nowNanos) {
-    if (!said) {
+    if (!reported) {
       return 0;
     }
     double age = nowNanos - lastNanos;
-    double fresh = age <= lasts() ? 1 : lasts() / age;
-    return trust * fresh * fresh;
+    double freshness = age <= freshNanos() ? 1 : freshNanos() / age;
+    return trust * freshness * freshness;
   }
 
-  private double lasts() {
-    return Math.max(gapNanos, RecentPace.FADE_NANOS);
+  private double freshNanos() {
+    return Math.max(meanIntervalNanos, RecentPace.DECAY_NANOS);
   }
 
-  /** What came of a word and of an estimate that were there when the work was sent. */
-  void onOutcome(double word, double estimate, double came) {
-    boolean wrong = Math.abs(came - word) > Math.abs(came - estimate) + MARGIN;
+  /**
+   * Updates the trust with the outcome of work.
+   *
+   * @param reportedLog pace reported when the work was sent
+   * @param estimate this node's estimate at that time
+   * @param observed pace that was observed
+   */
+  void onOutcome(double reportedLog, double estimate, double observed) {
+    boolean wrong = Math.abs(observed - reportedLog) > Math.abs(observed - estimate) + MARGIN;
     trust =
-        wrong || Math.abs(came - word) > 2 * MARGIN
-            ? trust * KEPT_WHEN_WRONG
-            : trust + REGAINED * (1 - trust);
+        wrong || Math.abs(observed - reportedLog) > 2 * MARGIN
+            ? trust * TRUST_KEPT_WHEN_WRONG
+            : trust + TRUST_REGAINED * (1 - trust);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/ServerLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ServerLoad.java
@@ -3,11 +3,12 @@
 import java.util.OptionalInt;
 
 /**
- * What an engine says of its load in an answer. Immutable.
+ * Load that an engine reports in an answer. Immutable.
  *
- * @param running requests that it works on
- * @param waiting requests that wait there
- * @param slots requests that it works on at once
- * @param pacePercent how long work takes there now, 100 as usual; empty where it does not say so
+ * @param running number of requests that it is processing
+ * @param waiting number of requests in its queue
+ * @param slots number of requests that it can process at once
+ * @param pacePercent time that work currently takes there in percent, 100 is usual; empty when not
+ *     reported
  */
 public record ServerLoad(int running, int waiting, int slots, OptionalInt pacePercent) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/ShortTermWeight.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ShortTermWeight.java
@@ -1,35 +1,44 @@
 package org.fallturn.core.pace;
 
 /**
- * How much of a difference that was seen lately is still there when work that is sent now has been
- * done. Learned from what came of earlier differences, since neither how long engines stay slow nor
- * how much single times vary is known beforehand. One thread calls.
+ * Learns how much of a recent deviation of an engine's pace is still present when work that is sent
+ * now has been done.
+ *
+ * <p>It is the regression coefficient of later deviations on earlier ones, with exponential
+ * forgetting. It has to be learned, since neither the duration of slow periods nor the variance of
+ * single times is known in advance. One thread calls.
  */
 final class ShortTermWeight {
 
-  /** A part is believed until enough was seen. */
-  private static final double FIRST_WEIGHT = 0.25;
+  /** Weight that is used until enough outcomes have been seen. */
+  private static final double INITIAL_WEIGHT = 0.25;
 
-  /** Squares of differences that speak for the first weight: some samples of a doubled time. */
-  private static final double FIRST_EVIDENCE = 1;
+  /**
+   * Weight of the initial value as a sum of squared deviations. It corresponds to a few samples of
+   * work that took twice the usual time.
+   */
+  private static final double INITIAL_EVIDENCE = 1;
 
-  /** Of the evidence, what is left after a sample: it is that of some hundred. */
-  private static final double KEPT = 0.99;
+  /**
+   * Share of the evidence that is kept after each sample, which makes it the evidence of about a
+   * hundred samples.
+   */
+  private static final double EVIDENCE_KEPT = 0.99;
 
-  private double products = FIRST_WEIGHT * FIRST_EVIDENCE;
-  private double squares = FIRST_EVIDENCE;
+  private double products = INITIAL_WEIGHT * INITIAL_EVIDENCE;
+  private double squares = INITIAL_EVIDENCE;
 
   /**
-   * A difference that was seen before, and what was there then.
+   * Adds the outcome of a forecast.
    *
-   * @param seen difference from the engine's mean, as a logarithm
-   * @param came the same of the work that was sent on it
-   * @param weight of that
+   * @param predicted deviation from the engine's mean that was forecast, as a natural logarithm
+   * @param observed deviation of the work that was sent with this forecast, as a natural logarithm
+   * @param weight weight of the observation
    */
-  void onOutcome(double seen, double came, double weight) {
-    if (seen != 0) {
-      products = KEPT * products + weight * seen * came;
-      squares = KEPT * squares + weight * seen * seen;
+  void onOutcome(double predicted, double observed, double weight) {
+    if (predicted != 0) {
+      products = EVIDENCE_KEPT * products + weight * predicted * observed;
+      squares = EVIDENCE_KEPT * squares + weight * predicted * predicted;
     }
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/WorkKind.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/WorkKind.java
@@ -1,11 +1,11 @@
 package org.fallturn.core.pace;
 
-/** Kinds of work whose pace may differ at one engine. */
+/** Kinds of work for which the pace of an engine is estimated separately. */
 public enum WorkKind {
-  /** Reading a prompt. */
+  /** Reading a prompt (prefill). */
   READING,
-  /** Making tokens for streams. */
+  /** Generating the tokens of streams (decode). */
   DECODING,
-  /** Answering a call that is no prompt. */
+  /** Answering an application request, which has no prompt. */
   APPLICATION
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/WorkKindPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/WorkKindPace.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** What is known of all engines at one kind of work. One thread calls. */
+/** Pace estimates of all engines for one kind of work. One thread calls. */
 final class WorkKindPace {
 
-  /** Samples that speak for the usual load of all engines. */
-  private static final double USUAL_LOAD_SAMPLES = 4;
+  /** Number of prior samples for the assumption that the load of all engines is as usual. */
+  private static final double PRIOR_SAMPLES = 4;
 
   private final Map<String, EngineEstimate> engines = new HashMap<>();
-  private final ShortTermWeight momentWeight = new ShortTermWeight();
-  private final ShrinkagePrior evenness = new ShrinkagePrior();
+  private final ShortTermWeight shortTermWeight = new ShortTermWeight();
+  private final ShrinkagePrior shrinkagePrior = new ShrinkagePrior();
   private double common;
 
   Map<String, EngineEstimate> engines() {
@@ -24,34 +24,40 @@
     return engines.computeIfAbsent(engineId, id -> new EngineEstimate());
   }
 
-  ShortTermWeight momentWeight() {
-    return momentWeight;
+  ShortTermWeight shortTermWeight() {
+    return shortTermWeight;
   }
 
-  /** By how much work takes longer now at all engines, such as under a burst. */
+  /**
+   * Returns the deviation that is currently common to all engines, for example under a burst, as a
+   * natural logarithm.
+   */
   double common() {
     return common;
   }
 
-  double usualSamples() {
-    return evenness.usualSamples();
+  double priorSamples() {
+    return shrinkagePrior.priorSamples();
   }
 
   void retain(Predicate<String> present) {
     engines.keySet().removeIf(id -> !present.test(id));
   }
 
-  /** Compares the engines with each other anew. */
+  /**
+   * Compares the engines with each other and updates the common deviation and the shrinkage prior.
+   */
   void compare(PeerPaces peers, long nowNanos) {
     double sum = 0;
-    double samples = USUAL_LOAD_SAMPLES;
+    double samples = PRIOR_SAMPLES;
     for (Map.Entry<String, EngineEstimate> engine : engines.entrySet()) {
-      RecentPace word = engine.getValue().recent(nowNanos).and(peers.of(engine.getKey(), nowNanos));
-      sum += word.sum() - word.samples() * engine.getValue().lasting().mean();
-      samples += word.samples();
+      RecentPace recent =
+          engine.getValue().recent(nowNanos).and(peers.of(engine.getKey(), nowNanos));
+      sum += recent.sum() - recent.samples() * engine.getValue().longTerm().mean();
+      samples += recent.samples();
     }
     common = sum / samples;
-    List<LongTermPace> lasting = engines.values().stream().map(EngineEstimate::lasting).toList();
-    evenness.compare(lasting, nowNanos);
+    List<LongTermPace> longTerm = engines.values().stream().map(EngineEstimate::longTerm).toList();
+    shrinkagePrior.compare(longTerm, nowNanos);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/package-info.java
@@ -1,2 +1,2 @@
-/** How fast each engine works now against what is usual for its service. */
+/** Estimates how fast each engine works compared with what is usual for its service. */
 package org.fallturn.core.pace;
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/CapacityShare.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/CapacityShare.java
@@ -1,66 +1,71 @@
 package org.fallturn.core.waiting;
 
 /**
- * This node's share of the room that the engines of a service have.
+ * This node's share of the free capacity of a service's engines.
  *
- * <p>It answers nodes that all hear of room at once: if each let go all that waits with it, they
- * would overfill the engines by as much again. While much is free nobody holds back. Else each node
- * is given its part of the room anew as often as the word of it is renewed, several times over,
- * since most nodes have nothing that waits. One thread calls.
+ * <p>All nodes learn of free capacity at the same time. If each sent everything that waits with it,
+ * together they would overfill the engines by as much again. While much capacity is free, no node
+ * holds back. Otherwise each node is granted its part of the free capacity once per update of the
+ * load reports. The grants add up to several times the free capacity, since most nodes have no
+ * waiting requests. One thread calls.
  */
 public final class CapacityShare {
 
-  /** Part of the whole room from which on no node holds back. */
-  private static final double FREE_PART = 0.3;
+  /** Share of the total capacity from which on no node holds back. */
+  private static final double FREE_SHARE = 0.3;
 
   /**
-   * How many times over the room is given out while the word of it is renewed once, to nodes of
-   * which each has one request that waits; more of them say that others have some too.
+   * How many times over the free capacity is granted per update of the load reports, to nodes with
+   * one waiting request each. A node with more waiting requests uses a smaller factor, since others
+   * then probably have some too.
    */
-  private static final double GIVEN_OVER = 4;
+  private static final double OVERCOMMIT = 4;
 
   private double permits;
   private long atNanos;
-  private boolean begun;
+  private boolean started;
 
   /**
-   * Takes the room of one request when this node may use it. Less than a whole permit is a chance
-   * of one: saved up by many nodes that have nothing to send, whole ones would all be used at once.
+   * Takes capacity for one request if this node may use it.
    *
-   * @param room requests that the engines have room for, as far as it is known
-   * @param most requests that they have room for when they have none
-   * @param nodes how many nodes share it
-   * @param waiting requests that wait at this node, the one that asks included
-   * @param renewNanos how long it takes until what others do is known
-   * @param draw from 0 to below 1, even over tries
+   * <p>A fraction of a permit is a chance of a whole one. If nodes with nothing to send saved up
+   * whole permits instead, all of these would be used at once.
+   *
+   * @param freeCapacity number of requests that the engines can still take, as far as known
+   * @param totalCapacity number of requests that they can take when they have none
+   * @param nodes number of nodes that share the engines
+   * @param waiting number of requests waiting at this node, including the one to be sent
+   * @param renewNanos time until the decisions of other nodes are known here
+   * @param draw random number from 0 to below 1, uniform over the calls
+   * @param nowNanos current time of the steady clock
    */
   public boolean take(
-      double room,
-      double most,
+      double freeCapacity,
+      double totalCapacity,
       int nodes,
       int waiting,
       long renewNanos,
       double draw,
       long nowNanos) {
     if (nodes <= 1) {
-      return room >= 1;
+      return freeCapacity >= 1;
     }
-    if (room >= FREE_PART * most) {
+    if (freeCapacity >= FREE_SHARE * totalCapacity) {
       return true;
     }
-    double over = Math.max(1, GIVEN_OVER / Math.max(1, waiting));
-    accrue(over * room / nodes, renewNanos, nowNanos);
+    double overcommit = Math.max(1, OVERCOMMIT / Math.max(1, waiting));
+    accrue(overcommit * freeCapacity / nodes, renewNanos, nowNanos);
     boolean taken = draw < permits;
     permits = taken ? Math.max(0, permits - 1) : 0;
     return taken;
   }
 
-  private void accrue(double part, long renewNanos, long nowNanos) {
-    if (begun) {
+  private void accrue(double share, long renewNanos, long nowNanos) {
+    if (started) {
       double elapsed = (double) Math.max(0, nowNanos - atNanos) / renewNanos;
-      permits = Math.min(part, permits + part * Math.min(1, elapsed));
+      permits = Math.min(share, permits + share * Math.min(1, elapsed));
     }
-    begun = true;
+    started = true;
     atNanos = nowNanos;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/KvCacheWait.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/KvCacheWait.java
@@ -1,29 +1,33 @@
 package org.fallturn.core.waiting;
 
 /**
- * How long a request waits for room in an engine's KV cache.
+ * Estimates how long a request waits for free space in an engine's KV cache.
  *
- * <p>It answers prompts that are long for the cache: what runs holds its prompt and its answer and
- * cannot give way, so that an engine that is given more evicts what it has begun, and reads it
- * anew. Only as many requests hold memory as the engine runs at once. What is kept of earlier
- * prompts gives way and is no matter here. Pure.
+ * <p>This matters for prompts that are long compared with the cache. Running requests hold memory
+ * for their prompt and answer, and this memory cannot be freed early: an engine that gets more
+ * requests evicts some that it has begun and reads their prompts again. Only as many requests hold
+ * memory as the engine runs at once. Blocks cached from earlier prompts can be evicted and are
+ * ignored here. Stateless.
  */
 public final class KvCacheWait {
 
-  /** Answers may be longer than expected, and blocks are not quite full. */
-  private static final double USED_PART = 0.95;
+  /**
+   * Usable share of the cache, since answers may be longer than expected and blocks are not quite
+   * full.
+   */
+  private static final double USABLE_SHARE = 0.95;
 
   private KvCacheWait() {}
 
   /**
-   * Time in ms until enough of what runs has ended.
+   * Returns the time in ms until enough running requests have ended.
    *
-   * @param present requests that the engine has
-   * @param presentTokens tokens that they hold when all run, as far as it is known
-   * @param slots requests that it runs at once
-   * @param tokens that one more would hold
-   * @param capacity tokens that the cache holds
-   * @param stayMillis how long a request runs
+   * @param present number of requests at the engine
+   * @param presentTokens tokens that they hold when all of them run, as far as known
+   * @param slots number of requests that the engine runs at once
+   * @param tokens tokens that the new request would hold
+   * @param capacity number of tokens that the cache can hold
+   * @param stayMillis time in ms that a request runs
    */
   public static double waitMillis(
       int present, double presentTokens, int slots, long tokens, long capacity, double stayMillis) {
@@ -31,7 +35,7 @@
       return 0;
     }
     double held = presentTokens * Math.min(1, (double) slots / present);
-    double over = held + tokens - USED_PART * capacity;
-    return over <= 0 ? 0 : Math.min(1, over / held) * stayMillis;
+    double excess = held + tokens - USABLE_SHARE * capacity;
+    return excess <= 0 ? 0 : Math.min(1, excess / held) * stayMillis;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/ResponseTimes.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/ResponseTimes.java
@@ -4,45 +4,57 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 
-/** How long requests of each service stay at an engine, in ms. One thread calls. */
+/**
+ * Mean response times of the engines for each service in ms, as exponentially weighted moving
+ * averages. One thread calls.
+ */
 public final class ResponseTimes {
 
-  /** Weight of one observation: a change is known after some ten, and one long stay says little. */
+  /**
+   * Weight of one observation: a change is known after about ten, and a single long response has
+   * little effect.
+   */
   private static final double WEIGHT = 0.1;
 
-  private final Map<String, Double> stays = new HashMap<>();
-  private final Map<String, Double> works = new HashMap<>();
+  private final Map<String, Double> responseMillis = new HashMap<>();
+  private final Map<String, Double> uncontendedMillis = new HashMap<>();
 
   /**
-   * A request was answered so long after it had been sent.
+   * Adds the response time of a request.
    *
-   * @param crowded whether it may have waited at the engine for others
+   * @param service service of the request
+   * @param millis time in ms between sending the request and its answer
+   * @param crowded whether the request may have waited at the engine for others
    */
   public void observe(String service, double millis, boolean crowded) {
-    smooth(stays, service, millis);
+    updateMean(responseMillis, service, millis);
     if (!crowded) {
-      smooth(works, service, millis);
+      updateMean(uncontendedMillis, service, millis);
     }
   }
 
-  private static void smooth(Map<String, Double> means, String service, double millis) {
+  private static void updateMean(Map<String, Double> means, String service, double millis) {
     means.merge(service, millis, (old, now) -> old + WEIGHT * (now - old));
   }
 
-  /** Mean time of a request for which there was room at once; empty while none has been seen. */
+  /**
+   * Returns the mean response time in ms of requests that did not have to wait at the engine; empty
+   * until one has been seen.
+   */
   public OptionalDouble workMillis(String service) {
-    Double millis = works.get(service);
+    Double millis = uncontendedMillis.get(service);
     return millis == null ? OptionalDouble.empty() : OptionalDouble.of(millis);
   }
 
   /**
-   * How many requests all nodes together send there within a time, by Little's law.
+   * Returns how many requests all nodes together send to engines within a period, by Little's law.
    *
-   * @param present requests there now
-   * @param millis the time
+   * @param service service of the requests
+   * @param present number of requests at the engines now
+   * @param millis length of the period in ms
    */
   public double arrivalsWithin(String service, int present, double millis) {
-    double stay = Math.max(1, stays.getOrDefault(service, millis));
-    return present * millis / stay;
+    double response = Math.max(1, responseMillis.getOrDefault(service, millis));
+    return present * millis / response;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
@@ -6,21 +6,28 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * With how many requests engines were full when they turned one away. A mark rises again with time,
- * since what others had there was known only roughly, and an engine may have become faster. One
- * thread calls.
+ * Number of requests at which engines were full when they rejected one.
+ *
+ * <p>A limit rises again with time, since the number of requests of other nodes was known only
+ * roughly and the engine may have become faster. One thread calls.
  */
 public final class SaturationLimits {
 
-  /** Less than was there when it was full, since the others' part of it is old. */
-  private static final double SAFE_PART = 0.9;
+  /**
+   * Share of the number of requests at the rejection, because the count of other nodes' requests is
+   * outdated.
+   */
+  private static final double SAFETY_FACTOR = 0.9;
 
-  /** A mark rises by a tenth a second, so that a wrong one costs room for seconds only. */
+  /**
+   * A limit rises by a tenth per second, so that a wrong one wastes capacity for a few seconds
+   * only.
+   */
   private static final double RISE_PER_NANO = 0.1 / TimeUnit.SECONDS.toNanos(1);
 
-  private final Map<String, Mark> marks = new HashMap<>();
+  private final Map<String, Limit> limits = new HashMap<>();
 
-  private record Mark(double requests, long atNanos) {
+  private record Limit(double requests, long atNanos) {
 
     double at(long nowNanos) {
       return requests * (1 + RISE_PER_NANO * Math.max(0, nowNanos - atNanos));
@@ -28,25 +35,31 @@
   }
 
   /**
-   * An engine turned a request away.
+   * Handles the rejection of a request by an engine.
    *
-   * @param present requests that were there as far as it was known
-   * @param slots requests that it works on; one that has fewer did not turn it away for being full
+   * @param engineId id of the engine
+   * @param present number of requests at the engine, as far as known
+   * @param slots number of requests that it processes at once; with fewer, it was not full when it
+   *     rejected the request
+   * @param nowNanos current time of the steady clock
    */
   public void onRejection(String engineId, int present, int slots, long nowNanos) {
     if (present >= slots) {
-      marks.put(engineId, new Mark(Math.max(slots, SAFE_PART * present), nowNanos));
+      limits.put(engineId, new Limit(Math.max(slots, SAFETY_FACTOR * present), nowNanos));
     }
   }
 
-  /** The most requests that it should be given; no bound for one that turned none away. */
+  /**
+   * Returns the maximum number of requests that the engine should be given; infinite for one that
+   * has not rejected any.
+   */
   public double most(String engineId, long nowNanos) {
-    Mark mark = marks.get(engineId);
-    return mark == null ? Double.POSITIVE_INFINITY : mark.at(nowNanos);
+    Limit limit = limits.get(engineId);
+    return limit == null ? Double.POSITIVE_INFINITY : limit.at(nowNanos);
   }
 
   /** Forgets engines that are gone. */
   public void retain(Set<String> engineIds) {
-    marks.keySet().retainAll(engineIds);
+    limits.keySet().retainAll(engineIds);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingParameters.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingParameters.java
@@ -1,17 +1,20 @@
 package org.fallturn.core.waiting;
 
 /**
- * Which decisions on competing requests are made; each may be turned off on its own.
+ * Switches for decisions about requests that compete for capacity. Each decision can be turned off
+ * separately.
  *
- * @param evenFill whether application requests are divided over the engines together with those
- *     that the fleet sends unheard; else each goes to the engine that seems emptiest
- * @param waitForRoom whether application requests wait at this node while engines have no room
- * @param refuseForeseen whether prompts that are foreseen to begin after their caller has left are
- *     refused at once
- * @param cacheRoom whether room in the engines' KV caches is counted
- * @param lateYields whether prompts that cannot be in time go behind those of lower ranks that can,
- *     while they have time to spare
- * @param maxWaitingBytes memory for the bodies of what waits
+ * @param evenFill whether application requests are divided over the engines by {@link
+ *     WaterFilling}, counting those that other nodes have sent but not yet reported; otherwise each
+ *     goes to the engine that seems least loaded
+ * @param waitForRoom whether application requests wait at this node while the engines have no free
+ *     capacity
+ * @param refuseForeseen whether prompts are refused at once when they are predicted to start after
+ *     their caller has left
+ * @param cacheRoom whether free space in the engines' KV caches is taken into account
+ * @param lateYields whether prompts that cannot meet their deadline go behind prompts of lower
+ *     ranks that can, while these have time to spare
+ * @param maxWaitingBytes memory in bytes for the bodies of waiting requests
  */
 public record WaitingParameters(
     boolean evenFill,
@@ -21,9 +24,9 @@
     boolean lateYields,
     long maxWaitingBytes) {
 
-  private static final long SOME_BYTES = 1 << 20;
+  private static final long DEFAULT_WAITING_BYTES = 1 << 20;
 
-  /** All decisions are made. */
+  /** All decisions are turned on. */
   public static final WaitingParameters ALL =
-      new WaitingParameters(true, true, true, true, true, SOME_BYTES);
+      new WaitingParameters(true, true, true, true, true, DEFAULT_WAITING_BYTES);
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingRequests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingRequests.java
@@ -9,46 +9,47 @@
 import java.util.Optional;
 
 /**
- * What waits at this node until an engine of its service has room.
+ * Queue of the requests that wait at this node until an engine of their service has free capacity.
  *
- * <p>It answers loads beyond what the engines work off: a request that is given to a full engine is
- * turned away, or is late behind others that could as well have waited, and can't be called back.
- * The order is the rank, then whether it can still be in time, then the deadline: one that cannot
- * be in time only makes others late when it goes ahead. What waits holds its body; past a bound the
- * last of the least urgent is handed back to be refused. One thread calls.
+ * <p>It serves loads beyond the capacity of the engines. A request sent to a full engine is
+ * rejected, or it is late behind others that could have waited, and it cannot be recalled. Requests
+ * are ordered by rank, then by whether they can still meet their target time, then by whether the
+ * caller has retried, then by deadline. One that cannot meet its target time goes later, since
+ * ahead of others it would only make these late too. Waiting requests hold their bodies in memory;
+ * beyond a bound, the last of the least urgent are handed back to be refused. One thread calls.
  *
- * @param <R> a request
+ * @param <R> type of a request
  */
 public final class WaitingRequests<R> {
 
   /**
-   * A request that waits.
+   * A waiting request.
    *
    * @param request the request
-   * @param service where it goes
-   * @param place of its rank; 0 goes first
-   * @param returned whether it waited through a refusal before
-   * @param aimNanos until when its answer is worth most
-   * @param answerByNanos until when its caller waits
-   * @param sinceNanos since when it waits
-   * @param bytes memory that it holds
+   * @param service service that it is for
+   * @param priority position of its rank; 0 goes first
+   * @param retried whether its caller retries after an earlier refusal
+   * @param targetNanos steady clock time up to which its answer has its full value
+   * @param answerByNanos steady clock time until which its caller waits
+   * @param sinceNanos steady clock time at which it began to wait
+   * @param bytes memory in bytes that it holds
    */
   public record Waiting<R>(
       R request,
       String service,
-      int place,
-      boolean returned,
-      long aimNanos,
+      int priority,
+      boolean retried,
+      long targetNanos,
       long answerByNanos,
       long sinceNanos,
       int bytes) {
 
     private boolean inTime(long nowNanos, long workNanos) {
-      return aimNanos - nowNanos >= workNanos;
+      return targetNanos - nowNanos >= workNanos;
     }
 
-    private long nextEndNanos(long nowNanos, long workNanos) {
-      return inTime(nowNanos, workNanos) ? aimNanos : answerByNanos;
+    private long nextDeadlineNanos(long nowNanos, long workNanos) {
+      return inTime(nowNanos, workNanos) ? targetNanos : answerByNanos;
     }
   }
 
@@ -56,16 +57,23 @@
   private final Map<String, Integer> counts = new HashMap<>();
   private long bytes;
 
-  /** Takes a request in; those that must go for it, itself among them, are returned. */
+  /**
+   * Adds a request.
+   *
+   * @param arrived the request
+   * @param maxBytes bound for the memory of all waiting requests
+   * @return the requests that have been removed to stay within the bound, possibly including the
+   *     new one
+   */
   public List<Waiting<R>> add(Waiting<R> arrived, long maxBytes) {
     put(arrived);
-    List<Waiting<R>> shed = new ArrayList<>();
+    List<Waiting<R>> evicted = new ArrayList<>();
     while (bytes > maxBytes && !waiting.isEmpty()) {
-      Waiting<R> last = waiting.values().stream().max(shedLast()).orElseThrow();
+      Waiting<R> last = waiting.values().stream().max(evictionOrder()).orElseThrow();
       remove(last.request());
-      shed.add(last);
+      evicted.add(last);
     }
-    return shed;
+    return evicted;
   }
 
   private void put(Waiting<R> arrived) {
@@ -74,40 +82,43 @@
     bytes += arrived.bytes();
   }
 
-  private Comparator<Waiting<R>> shedLast() {
-    return Comparator.<Waiting<R>>comparingInt(Waiting::place)
-        .thenComparing(entry -> !entry.returned())
+  private Comparator<Waiting<R>> evictionOrder() {
+    return Comparator.<Waiting<R>>comparingInt(Waiting::priority)
+        .thenComparing(entry -> !entry.retried())
         .thenComparingLong(Waiting::sinceNanos);
   }
 
-  /** Takes a request out, if it waits. */
+  /** Removes a request if it is waiting. */
   public Optional<Waiting<R>> remove(R request) {
-    Waiting<R> left = waiting.remove(request);
-    if (left == null) {
+    Waiting<R> removed = waiting.remove(request);
+    if (removed == null) {
       return Optional.empty();
     }
-    counts.merge(left.service(), -1, Integer::sum);
-    bytes -= left.bytes();
-    return Optional.of(left);
+    counts.merge(removed.service(), -1, Integer::sum);
+    bytes -= removed.bytes();
+    return Optional.of(removed);
   }
 
   /**
-   * The requests of a service in the order in which they go.
+   * Returns the waiting requests of a service in the order in which they are to be sent.
    *
-   * @param workNanos how long a request takes at an engine that has room
+   * @param service the service
+   * @param workNanos time that a request takes at an engine with free capacity
+   * @param nowNanos current time of the steady clock
    */
   public List<Waiting<R>> inOrder(String service, long workNanos, long nowNanos) {
     return waiting.values().stream()
         .filter(entry -> entry.service().equals(service))
         .sorted(
-            Comparator.<Waiting<R>>comparingInt(Waiting::place)
+            Comparator.<Waiting<R>>comparingInt(Waiting::priority)
                 .thenComparing(entry -> !entry.inTime(nowNanos, workNanos))
-                .thenComparing(entry -> !entry.returned())
-                .thenComparingLong(entry -> entry.nextEndNanos(nowNanos, workNanos) - nowNanos))
+                .thenComparing(entry -> !entry.retried())
+                .thenComparingLong(
+                    entry -> entry.nextDeadlineNanos(nowNanos, workNanos) - nowNanos))
         .toList();
   }
 
-  /** Services that have requests waiting. */
+  /** Returns the services that have waiting requests. */
   public List<String> services() {
     return counts.entrySet().stream()
         .filter(count -> count.getValue() > 0)
@@ -115,22 +126,22 @@
         .toList();
   }
 
-  /** How many requests of a service wait. */
+  /** Returns the number of waiting requests of a service. */
   public int size(String service) {
     return counts.getOrDefault(service, 0);
   }
 
-  /** How many requests wait. */
+  /** Returns the number of waiting requests. */
   public int size() {
     return waiting.size();
   }
 
-  /** Memory that they hold. */
+  /** Returns the memory in bytes that they hold. */
   public long bytes() {
     return bytes;
   }
 
-  /** Takes all out. */
+  /** Removes and returns all waiting requests. */
   public List<Waiting<R>> removeAll() {
     List<Waiting<R>> all = List.copyOf(waiting.values());
     all.forEach(entry -> remove(entry.request()));
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/WaterFilling.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaterFilling.java
@@ -5,72 +5,81 @@
 import java.util.List;
 
 /**
- * Divides requests over engines so that all end at one level, like water over connected vessels.
+ * Distributes requests over engines by water-filling: emptier engines get as many more requests as
+ * bring all engines to one common level.
  *
- * <p>It answers many nodes that decide on the same old word of load: each would take the engine
- * that was emptiest a moment ago, and all together would overfill it. What the fleet places before
- * the word is renewed is part of what is divided, so that each node, drawing for itself, leaves to
- * the emptier engines only as much more as they have room for. Its limit: who draws is spread as
- * chance spreads, by about the root of the number that is placed. Pure.
+ * <p>Many nodes decide on the same outdated load reports. If each took the engine that was least
+ * loaded at the last report, together they would overfill it. The amount that is distributed
+ * therefore includes the requests that all nodes send before the reports are renewed. Each node
+ * draws an engine for itself with a probability in proportion to the part that the engine has in
+ * this amount, so that the emptier engines get only as many more requests as they have capacity
+ * for. Because of the random draw, the number of requests at an engine deviates by about the square
+ * root of the number that is distributed. Stateless.
  */
 public final class WaterFilling {
 
   /**
-   * An engine that requests are divided over.
+   * Load of an engine that requests are distributed over.
    *
-   * @param level requests there by its capacity, and what else makes it less attractive
-   * @param capacity requests it works on at once, less where it is slow; above 0
+   * @param level number of requests there divided by its capacity, plus penalties that make it less
+   *     attractive
+   * @param capacity number of requests that it processes at once, less when it is slow; above 0
    */
   public record EngineFill(double level, double capacity) {}
 
-  /** Chooses the emptiest, and any of several that are alike. */
-  private static final double LEAST_AMOUNT = 1e-3;
+  /**
+   * Smallest amount that is distributed. It makes the emptiest engine the choice, at random among
+   * equal ones.
+   */
+  private static final double MIN_AMOUNT = 1e-3;
 
   private WaterFilling() {}
 
   /**
-   * The place in the list of the engine for one request.
+   * Chooses the engine for one request.
    *
-   * @param vessels at least one
-   * @param amount requests that are divided; where it is next to nothing, the emptiest is chosen
-   * @param draw from 0 to below 1, even over requests
+   * @param engines the engines; at least one
+   * @param amount number of requests to distribute; when it is close to 0, the emptiest engine is
+   *     chosen
+   * @param draw random number from 0 to below 1, uniform over requests
+   * @return index of the engine in the list
    */
-  public static int choose(List<EngineFill> vessels, double amount, double draw) {
-    double divided = Math.max(LEAST_AMOUNT, amount);
-    double level = commonLevel(vessels, divided);
-    double left = draw * divided;
+  public static int choose(List<EngineFill> engines, double amount, double draw) {
+    double distributed = Math.max(MIN_AMOUNT, amount);
+    double level = commonLevel(engines, distributed);
+    double remaining = draw * distributed;
     int last = 0;
-    for (int index = 0; index < vessels.size(); index++) {
-      double part = partOf(vessels.get(index), level);
-      if (part <= 0) {
+    for (int index = 0; index < engines.size(); index++) {
+      double share = shareOf(engines.get(index), level);
+      if (share <= 0) {
         continue;
       }
       last = index;
-      left -= part;
-      if (left < 0) {
+      remaining -= share;
+      if (remaining < 0) {
         return index;
       }
     }
     return last;
   }
 
-  private static double partOf(EngineFill vessel, double level) {
-    return Math.max(0, level - vessel.level()) * vessel.capacity();
+  private static double shareOf(EngineFill engine, double level) {
+    return Math.max(0, level - engine.level()) * engine.capacity();
   }
 
-  /** The level up to which the amount fills the vessels that stand below it. */
-  static double commonLevel(List<EngineFill> vessels, double amount) {
-    List<EngineFill> byLevel = new ArrayList<>(vessels);
+  /** Returns the level to which the amount fills the engines that are below it. */
+  static double commonLevel(List<EngineFill> engines, double amount) {
+    List<EngineFill> byLevel = new ArrayList<>(engines);
     byLevel.sort(Comparator.comparingDouble(EngineFill::level));
     double filled = amount;
     double capacity = 0;
     double common = 0;
-    for (EngineFill vessel : byLevel) {
-      if (capacity > 0 && vessel.level() >= common) {
+    for (EngineFill engine : byLevel) {
+      if (capacity > 0 && engine.level() >= common) {
         break;
       }
-      filled += vessel.level() * vessel.capacity();
-      capacity += vessel.capacity();
+      filled += engine.level() * engine.capacity();
+      capacity += engine.capacity();
       common = filled / capacity;
     }
     return common;
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/package-info.java
@@ -1,2 +1,2 @@
-/** Where and how long requests wait when more come than there is room for. */
+/** Decides where and how long requests wait when more arrive than the engines have capacity for. */
 package org.fallturn.core.waiting;
--- a/fallturn-core/src/test/java/org/fallturn/core/pace/PaceEstimatorTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/pace/PaceEstimatorTest.java
@@ -13,6 +13,11 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests that engines which are slower than the others, permanently or for a short time, are
+ * detected from few samples, and that noise, load common to all engines and wrong reports do not
+ * mark an engine as slow.
+ */
 class PaceEstimatorTest {
 
   private static final WorkKind KIND = WorkKind.READING;
@@ -23,13 +28,13 @@
       Map.of("a", KIND, "b", KIND, "c", KIND, "d", KIND);
 
   private final Random random = new Random(7);
-  private final Map<String, RecentPace> told = new HashMap<>();
+  private final Map<String, RecentPace> peerPaces = new HashMap<>();
   private final PaceEstimator pace =
-      new PaceEstimator((id, now) -> told.getOrDefault(id, RecentPace.NONE));
+      new PaceEstimator((id, now) -> peerPaces.getOrDefault(id, RecentPace.NONE));
   private long now = TimeUnit.SECONDS.toNanos(5);
 
-  /** Work that takes 100 ms, give or take a third, times a factor. */
-  private void work(String engineId, double factor) {
+  /** Simulates work that takes 100 ms with a random variation of about a third, times a factor. */
+  private void doWork(String engineId, double factor) {
     now += GAP_NANOS;
     PaceForecast forecast = pace.forecast(engineId, KIND, now);
     double millis = 100 * factor * Math.exp(0.3 * random.nextGaussian());
@@ -40,7 +45,7 @@
     for (int round = 0; round < count; round++) {
       pace.onTick(KINDS, now);
       for (String engineId : ENGINES) {
-        work(engineId, engineId.equals("a") ? factorOfA : 1);
+        doWork(engineId, engineId.equals("a") ? factorOfA : 1);
       }
     }
   }
@@ -50,7 +55,7 @@
   }
 
   @Test
-  void engineOfWhichNothingIsKnownIsUsual() {
+  void engineWithoutSamplesHasUsualPace() {
     assertThat(slowness("a")).isEqualTo(1);
     assertThat(pace.slowness("a", WorkKind.APPLICATION, now)).isEqualTo(1);
   }
@@ -65,9 +70,9 @@
   }
 
   @Test
-  void oneOutlierCondemnsNoEngine() {
+  void singleOutlierDoesNotMarkAnEngineAsSlow() {
     rounds(10, 1);
-    work("a", 500);
+    doWork("a", 500);
     now += GAP_NANOS;
     assertThat(slowness("a")).isLessThan(1.6);
     now += TimeUnit.SECONDS.toNanos(1);
@@ -75,7 +80,7 @@
   }
 
   @Test
-  void slowMomentIsKnownAfterFewRequestsAndForgivenAfterIt() {
+  void slowPeriodIsDetectedAfterFewRequestsAndForgottenAfterIt() {
     for (int time = 0; time < 6; time++) {
       rounds(8, 1);
       rounds(3, 2.5);
@@ -90,17 +95,17 @@
   }
 
   @Test
-  void wordOfThreeSecondsAgoSaysNothingOfTheMoment() {
+  void samplesOfThreeSecondsAgoDoNotAffectTheShortTermPace() {
     rounds(20, 1);
     rounds(2, 2.5);
     now += TimeUnit.SECONDS.toNanos(3);
     PaceForecast stale = pace.forecast("a", KIND, now);
-    assertThat(stale.moment()).isCloseTo(0, within(0.001));
-    assertThat(stale.slowness()).isCloseTo(Math.exp(stale.lasting()), within(0.001));
+    assertThat(stale.shortTerm()).isCloseTo(0, within(0.001));
+    assertThat(stale.slowness()).isCloseTo(Math.exp(stale.longTerm()), within(0.001));
   }
 
   @Test
-  void whatAnEngineIsFadesWhenItIsNotUsed() {
+  void longTermPaceDecaysWhenTheEngineIsNotUsed() {
     rounds(30, 1.6);
     double known = slowness("a");
     now += TimeUnit.MINUTES.toNanos(10);
@@ -108,7 +113,7 @@
   }
 
   @Test
-  void laterStartOfAnEngineBeginsAsUsual() {
+  void newIncarnationOfAnEngineStartsWithUsualPace() {
     rounds(30, 2);
     pace.retain(id -> !id.equals("a"));
     assertThat(slowness("a")).isEqualTo(1);
@@ -116,12 +121,12 @@
   }
 
   @Test
-  void moreLoadAtAllEnginesSetsNoneApartAndBecomesUsual() {
+  void moreLoadAtAllEnginesAffectsAllAlikeAndBecomesUsual() {
     rounds(20, 1);
     for (int round = 0; round < 120; round++) {
       pace.onTick(KINDS, now);
       for (String engineId : ENGINES) {
-        work(engineId, 3);
+        doWork(engineId, 3);
       }
     }
     for (String engineId : ENGINES) {
@@ -131,7 +136,7 @@
   }
 
   @Test
-  void freshWordOfTheEngineGoesBeforeTheEstimate() {
+  void freshReportOfTheEngineOverridesTheEstimate() {
     rounds(20, 1);
     pace.onReportedPace("a", 2.5, now);
     assertThat(slowness("a")).isCloseTo(2.5, within(0.1));
@@ -140,7 +145,7 @@
   }
 
   @Test
-  void engineThatLiesAgainAndAgainIsNotBelieved() {
+  void engineThatRepeatedlyMisreportsIsNotTrusted() {
     for (int round = 0; round < 30; round++) {
       pace.onReportedPace("a", 1, now);
       rounds(1, 3);
@@ -151,16 +156,16 @@
   }
 
   @Test
-  void whatOthersTellIsTakenOnceAndStaysWhenTheyFallSilent() {
+  void samplesOfPeersCountOnceAndRemainWhenPeersFallSilent() {
     Map<String, WorkKind> kinds = Map.of("a", KIND);
     pace.onTick(kinds, now);
     for (int turn = 0; turn < 30; turn++) {
       now += TimeUnit.MILLISECONDS.toNanos(100);
-      told.put("a", new RecentPace(3 * Math.log(2), 3));
+      peerPaces.put("a", new RecentPace(3 * Math.log(2), 3));
       pace.onTick(kinds, now);
     }
     assertThat(slowness("a")).isBetween(1.5, 2.1);
-    told.clear();
+    peerPaces.clear();
     assertThat(slowness("a")).isBetween(1.4, 2.1);
     assertThat(slowness("b")).isEqualTo(1);
   }
@@ -179,26 +184,27 @@
   }
 
   /**
-   * Nodes that go by the same news must not all take the one engine that seems a little faster: of
-   * a hundred deciders on one word, those engines that differ by less than is known stay equal.
+   * Guards against a herd effect: nodes that receive the same reports must not all choose the one
+   * engine that seems a little faster. A hundred nodes with the same report treat engines as equal
+   * whose difference is smaller than the uncertainty.
    */
   @Test
-  void hundredDecidersOnOneWordTakeNoSingleEngine() {
-    List<PaceEstimator> deciders = new ArrayList<>();
+  void hundredNodesWithTheSameReportDoNotChooseOneEngine() {
+    List<PaceEstimator> nodes = new ArrayList<>();
     for (int node = 0; node < 100; node++) {
-      deciders.add(new PaceEstimator((id, at) -> told.getOrDefault(id, RecentPace.NONE)));
+      nodes.add(new PaceEstimator((id, at) -> peerPaces.getOrDefault(id, RecentPace.NONE)));
     }
-    told.put("a", RecentPace.of(92, 30));
-    told.put("b", RecentPace.of(105, 30));
-    told.put("c", RecentPace.of(260, 30));
+    peerPaces.put("a", RecentPace.of(92, 30));
+    peerPaces.put("b", RecentPace.of(105, 30));
+    peerPaces.put("c", RecentPace.of(260, 30));
     Map<String, Integer> taken = new HashMap<>();
-    for (PaceEstimator decider : deciders) {
+    for (PaceEstimator estimator : nodes) {
       for (int turn = 0; turn < 20; turn++) {
         now += TimeUnit.MILLISECONDS.toNanos(100);
-        decider.onTick(KINDS, now);
+        estimator.onTick(KINDS, now);
       }
       Comparator<String> bySlowness =
-          Comparator.comparingDouble(id -> decider.slowness(id, KIND, now));
+          Comparator.comparingDouble(id -> estimator.slowness(id, KIND, now));
       String first =
           Stream.of(ENGINES).min(bySlowness.thenComparing(id -> random.nextInt())).orElseThrow();
       taken.merge(first, 1, Integer::sum);
--- a/fallturn-core/src/test/java/org/fallturn/core/waiting/KvCacheWaitTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/waiting/KvCacheWaitTest.java
@@ -4,24 +4,28 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests the predicted wait for KV cache memory. Without it, an engine that is given more than its
+ * cache holds evicts requests that it has begun and reads their prompts again.
+ */
 class KvCacheWaitTest {
 
   private static final long CAPACITY = 100_000;
 
   @Test
-  void nothingWaitsWhileItFits() {
+  void doesNotWaitWhileTheRequestFits() {
     assertThat(KvCacheWait.waitMillis(0, 0, 8, 200_000, CAPACITY, 400)).isZero();
     assertThat(KvCacheWait.waitMillis(4, 60_000, 8, 30_000, CAPACITY, 400)).isZero();
   }
 
   @Test
-  void waitsUntilAsMuchHasEndedAsIsTooMuch() {
+  void waitsUntilTheExcessHasEnded() {
     assertThat(KvCacheWait.waitMillis(4, 80_000, 8, 35_000, CAPACITY, 400)).isEqualTo(100);
     assertThat(KvCacheWait.waitMillis(4, 80_000, 8, 200_000, CAPACITY, 400)).isEqualTo(400);
   }
 
   @Test
-  void requestsThatWaitForASlotHoldNothing() {
+  void requestsWaitingForASlotHoldNoMemory() {
     assertThat(KvCacheWait.waitMillis(16, 120_000, 8, 30_000, CAPACITY, 400)).isZero();
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/waiting/WaitingRequestsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/waiting/WaitingRequestsTest.java
@@ -5,39 +5,43 @@
 import org.fallturn.core.waiting.WaitingRequests.Waiting;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests the order of waiting requests and which of them are handed back when the memory bound is
+ * exceeded.
+ */
 class WaitingRequestsTest {
 
   private static final long WORK = 10;
 
-  private final WaitingRequests<String> room = new WaitingRequests<>();
+  private final WaitingRequests<String> waiting = new WaitingRequests<>();
 
-  private static Waiting<String> request(String name, int place, boolean returned, long aim) {
-    return new Waiting<>(name, "s", place, returned, aim, 1_000, 0, 100);
+  private static Waiting<String> request(String name, int priority, boolean retried, long target) {
+    return new Waiting<>(name, "s", priority, retried, target, 1_000, 0, 100);
   }
 
   @Test
-  void ordersByRankThenByWhatCanBeInTimeThenByWhoHasWaitedThenByDeadline() {
-    room.add(request("urgent-late", 0, false, 5), 10_000);
-    room.add(request("late", 1, false, 5), 10_000);
-    room.add(request("last", 1, false, 400), 10_000);
-    room.add(request("first", 1, false, 300), 10_000);
-    room.add(request("returned", 1, true, 900), 10_000);
-    assertThat(room.inOrder("s", WORK, 0))
+  void ordersByRankThenByTargetTimeThenByRetryThenByDeadline() {
+    waiting.add(request("urgent-late", 0, false, 5), 10_000);
+    waiting.add(request("late", 1, false, 5), 10_000);
+    waiting.add(request("last", 1, false, 400), 10_000);
+    waiting.add(request("first", 1, false, 300), 10_000);
+    waiting.add(request("returned", 1, true, 900), 10_000);
+    assertThat(waiting.inOrder("s", WORK, 0))
         .extracting(Waiting::request)
         .containsExactly("urgent-late", "returned", "first", "last", "late");
   }
 
   @Test
-  void pastItsMemoryTheLeastUrgentGoFirst() {
-    room.add(request("urgent", 0, false, 400), 250);
-    room.add(request("returned", 1, true, 400), 250);
-    assertThat(room.add(request("new", 1, false, 400), 250))
+  void evictsTheLeastUrgentBeyondTheMemoryBound() {
+    waiting.add(request("urgent", 0, false, 400), 250);
+    waiting.add(request("returned", 1, true, 400), 250);
+    assertThat(waiting.add(request("new", 1, false, 400), 250))
         .extracting(Waiting::request)
         .containsExactly("new");
-    assertThat(room.add(request("more urgent", 0, false, 400), 250))
+    assertThat(waiting.add(request("more urgent", 0, false, 400), 250))
         .extracting(Waiting::request)
         .containsExactly("returned");
-    assertThat(room.bytes()).isEqualTo(200);
-    assertThat(room.size("s")).isEqualTo(2);
+    assertThat(waiting.bytes()).isEqualTo(200);
+    assertThat(waiting.size("s")).isEqualTo(2);
   }
 }
