--- a/fallturn-core/src/main/java/org/fallturn/core/orders/EngineEntry.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/EngineEntry.java
@@ -3,18 +3,24 @@
 import org.fallturn.core.port.engine.EngineOrder;
 import org.fallturn.core.port.engine.EngineState;
 
-/** What a leader knows of one engine's orders. Owned by the thread of its {@link PoolOrderBook}. */
+/**
+ * State of the orders to one engine, as the leader knows it. Owned by the thread of its {@link
+ * PoolOrderBook}.
+ */
 final class EngineEntry {
 
-  /** Where the engine stands. */
+  /** Progress of the orders to the engine. */
   enum Phase {
-    /** No fence acknowledged, or a lost answer: a fence with a fresh number must go out. */
+    /**
+     * No fence has been acknowledged, or an answer was lost: a fence with a new number must be
+     * sent.
+     */
     UNCERTAIN,
-    /** An order or a fence is on its way. */
+    /** An order or a fence has been sent and not answered yet. */
     SENT,
-    /** The engine carries out an order. */
+    /** The engine is carrying out an order. */
     WORKING,
-    /** The state is known and nothing is in progress. */
+    /** The state is known and no order is in progress. */
     READY
   }
 
@@ -22,7 +28,7 @@
   private EngineOrder sent;
   private EngineState state;
   private long retryAtNanos;
-  private boolean attempted;
+  private boolean fenceAttempted;
 
   EngineEntry(long nowNanos) {
     retryAtNanos = nowNanos;
@@ -32,7 +38,7 @@
     return phase;
   }
 
-  /** The order on its way; only in phase {@link Phase#SENT}. */
+  /** Returns the order that has been sent; only in phase {@link Phase#SENT}. */
   EngineOrder sent() {
     return sent;
   }
@@ -41,9 +47,9 @@
     return state;
   }
 
-  /** Whether its first fence was answered or given up. */
-  boolean attempted() {
-    return attempted;
+  /** Returns whether the first fence was answered or given up. */
+  boolean fenceAttempted() {
+    return fenceAttempted;
   }
 
   boolean isFenceDue(long nowNanos) {
@@ -59,17 +65,17 @@
     sent = order;
   }
 
-  void uncertain(long retryAt) {
+  void markUncertain(long nextRetryNanos) {
     phase = Phase.UNCERTAIN;
     sent = null;
-    attempted = true;
-    retryAtNanos = retryAt;
+    fenceAttempted = true;
+    retryAtNanos = nextRetryNanos;
   }
 
-  void known(EngineState present) {
+  void markKnown(EngineState present) {
     state = present;
     sent = null;
-    attempted = true;
+    fenceAttempted = true;
     boolean serving = present.activity() == EngineState.Activity.SERVING;
     phase = serving ? Phase.READY : Phase.WORKING;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/orders/OrderDecision.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/OrderDecision.java
@@ -2,28 +2,28 @@
 
 import org.fallturn.core.port.engine.EngineOrder;
 
-/** Whether an order may be sent. */
+/** Decision on whether an order may be sent. */
 public sealed interface OrderDecision {
 
   /**
-   * Send it, provided that the lease still holds.
+   * The order may be sent, provided that the lease still holds.
    *
    * @param order the numbered order
    */
   record Send(EngineOrder order) implements OrderDecision {}
 
   /**
-   * Do not send it.
+   * The order must not be sent.
    *
-   * @param reason why
+   * @param reason the reason
    */
   record Refused(Reason reason) implements OrderDecision {}
 
-  /** The closed list of reasons. */
+  /** Reasons for not sending an order. */
   enum Reason {
-    /** The engine is not one of the pool's. */
+    /** The engine does not belong to the pool. */
     UNKNOWN_ENGINE,
-    /** The engine has not acknowledged this leadership's fence, or its state is uncertain. */
+    /** The engine has not acknowledged the fence of this leadership, or its state is uncertain. */
     NOT_FENCED,
     /** An earlier order is still in progress. */
     IN_PROGRESS,
--- a/fallturn-core/src/main/java/org/fallturn/core/orders/OrderResult.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/OrderResult.java
@@ -3,11 +3,12 @@
 import org.fallturn.core.domain.Epoch;
 import org.fallturn.core.port.engine.EngineState;
 
-/** What an engine's answer to an order means. */
+/** Meaning of an engine's answer to an order. */
 public sealed interface OrderResult {
 
   /**
-   * The fence is up; older orders can no longer take effect and the state is exact.
+   * The engine has raised the fence: older orders can no longer take effect, and the state is
+   * exact.
    *
    * @param state the engine's state
    */
@@ -28,12 +29,12 @@
   record Refused(EngineState state) implements OrderResult {}
 
   /**
-   * The engine obeys a later leadership; this one is over.
+   * The engine has accepted a later leadership; this one has ended.
    *
    * @param epoch the later epoch
    */
   record Superseded(Epoch epoch) implements OrderResult {}
 
-  /** An answer that is no longer waited for. */
+  /** The answer is no longer awaited. */
   record Stale() implements OrderResult {}
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/orders/PoolOrderBook.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/PoolOrderBook.java
@@ -19,11 +19,13 @@
 import org.fallturn.core.port.engine.OrderNumber;
 
 /**
- * The orders of one leadership of one pool. Invariants: every order has a number that no earlier
- * one had; an engine gets an order only after it acknowledged this leadership's fence, and only
- * when nothing else is in progress there; after a lost answer a fence with a fresh number goes
- * first, so that the lost order cannot take effect any more once the state is read. Owned by one
- * thread; the caller checks the lease right before each send.
+ * Orders of one leadership to the engines of one pool.
+ *
+ * <p>Invariants: every order has a number that no earlier order had; an engine gets an order only
+ * after it has acknowledged the fence of this leadership, and only when no other order is in
+ * progress there; after a lost answer, a fence with a new number is sent first, so that the lost
+ * order can no longer take effect once the state has been read. Owned by one thread; the caller
+ * checks the lease right before each send.
  */
 public final class PoolOrderBook {
 
@@ -38,47 +40,47 @@
   private long startedLoads;
 
   /**
-   * A book without engines.
+   * Creates an order book without engines.
    *
-   * @param epoch the leadership
-   * @param retry how long to wait before an unanswered fence is sent again
+   * @param epoch epoch of the leadership
+   * @param retry delay before an unanswered fence is sent again
    */
   public PoolOrderBook(Epoch epoch, Duration retry) {
     this.epoch = epoch;
     this.retryNanos = retry.toNanos();
   }
 
-  /** The leadership that the orders belong to. */
+  /** Returns the epoch of the leadership that the orders belong to. */
   public Epoch epoch() {
     return epoch;
   }
 
-  /** Takes over which engines the pool has now. */
+  /** Updates the set of engines of the pool. */
   public void onEngines(Set<EngineId> present, long nowNanos) {
     engines.keySet().retainAll(present);
     waitingLoads.keySet().retainAll(present);
     present.forEach(engine -> engines.computeIfAbsent(engine, id -> new EngineEntry(nowNanos)));
   }
 
-  /** How many engines of the pool may load at once. */
+  /** Sets how many engines of the pool may load at the same time. */
   public void onLoadSlots(int slots) {
     loadSlots = slots;
   }
 
-  /** What the pool wants of the weight store. */
+  /** Returns the pool's demand for the weight store. */
   public LoadDemand loadDemand(long nowNanos) {
     waitingLoads.values().removeIf(since -> nowNanos - since > LOAD_WAIT_NANOS);
-    Set<EngineId> wanting = new HashSet<>(waitingLoads.keySet());
+    Set<EngineId> loading = new HashSet<>(waitingLoads.keySet());
     engines.forEach(
         (engine, entry) -> {
           if (isLoading(entry)) {
-            wanting.add(engine);
+            loading.add(engine);
           }
         });
-    return new LoadDemand(wanting.size(), startedLoads);
+    return new LoadDemand(loading.size(), startedLoads);
   }
 
-  /** Engines whose fence must go out now. */
+  /** Returns the engines to which a fence must be sent now. */
   public List<EngineId> fencesDue(long nowNanos) {
     List<EngineId> due = new ArrayList<>();
     engines.forEach(
@@ -90,7 +92,7 @@
     return due;
   }
 
-  /** The fence to send to an engine. */
+  /** Creates the fence to send to an engine. */
   public EngineOrder raiseFence(EngineId engine) {
     EngineOrder fence =
         new EngineOrder(nextNumber(), EngineOrder.ANY_INCARNATION, new EngineCommand.RaiseFence());
@@ -98,12 +100,12 @@
     return fence;
   }
 
-  /** Whether every engine's first fence was answered or given up. */
+  /** Returns whether the first fence of every engine was answered or given up. */
   public boolean isFencingAttempted() {
-    return engines.values().stream().allMatch(EngineEntry::attempted);
+    return engines.values().stream().allMatch(EngineEntry::fenceAttempted);
   }
 
-  /** States of the engines that acknowledged the fence. */
+  /** Returns the states of the engines that acknowledged the fence. */
   public List<EngineState> fencedStates() {
     return engines.values().stream()
         .filter(entry -> isKnown(entry))
@@ -111,7 +113,9 @@
         .toList();
   }
 
-  /** Engines that carry out an order; their state should be read from time to time. */
+  /**
+   * Returns the engines that are carrying out an order; their state should be read periodically.
+   */
   public List<EngineId> working() {
     List<EngineId> working = new ArrayList<>();
     engines.forEach(
@@ -123,7 +127,7 @@
     return working;
   }
 
-  /** Numbers an order, or says why it cannot go out. */
+  /** Numbers an order, or returns the reason why it cannot be sent. */
   public OrderDecision submit(EngineId engine, EngineCommand command, long nowNanos) {
     EngineEntry entry = engines.get(engine);
     Optional<OrderDecision.Reason> obstacle = obstacle(entry, command);
@@ -156,7 +160,7 @@
     };
   }
 
-  /** An engine answered an order or a fence. */
+  /** Handles an engine's answer to an order or a fence. */
   public OrderResult onAnswer(
       EngineId engine, EngineOrder order, OrderAnswer answer, long nowNanos) {
     Epoch fence = answer.state().fence().epoch();
@@ -168,33 +172,34 @@
       return new OrderResult.Stale();
     }
     if (answer.accepted()) {
-      entry.known(answer.state());
+      entry.markKnown(answer.state());
       boolean isFence = order.command() instanceof EngineCommand.RaiseFence;
       return isFence
           ? new OrderResult.Fenced(answer.state())
           : new OrderResult.Accepted(answer.state());
     }
-    // Not accepted although nothing newer is known: a fresh fence tells the exact state.
-    entry.uncertain(nowNanos + retryNanos);
+    // The engine refused although it reports no later leadership: a new fence shows its exact
+    // state.
+    entry.markUncertain(nowNanos + retryNanos);
     return new OrderResult.Refused(answer.state());
   }
 
-  /** An order or a fence got no answer; it may take effect yet. */
+  /** Handles a missing answer to an order or a fence, which may still take effect. */
   public void onNoAnswer(EngineId engine, EngineOrder order, long nowNanos) {
     EngineEntry entry = engines.get(engine);
     if (entry != null && entry.isWaitingFor(order)) {
-      entry.uncertain(nowNanos + retryNanos);
+      entry.markUncertain(nowNanos + retryNanos);
     }
   }
 
-  /** An order or a fence was not sent after all, because the lease ran out. */
+  /** Handles an order or a fence that was not sent, because the lease ran out. */
   public void onNotSent(EngineId engine, EngineOrder order, long nowNanos) {
     onNoAnswer(engine, order, nowNanos);
   }
 
   /**
-   * An engine's state was read, or its incarnation was seen elsewhere. A restarted engine has lost
-   * its fence and is fenced again.
+   * Handles an engine's state that was read, or its incarnation that was seen elsewhere. A
+   * restarted engine has lost its fence and is fenced again.
    */
   public void onState(EngineId engine, EngineState state, long nowNanos) {
     EngineEntry entry = engines.get(engine);
@@ -202,13 +207,16 @@
       return;
     }
     if (state.incarnation() != entry.state().incarnation()) {
-      entry.uncertain(nowNanos);
+      entry.markUncertain(nowNanos);
     } else {
-      entry.known(state);
+      entry.markKnown(state);
     }
   }
 
-  /** Whether a late answer tells a state from before the last order that the engine accepted. */
+  /**
+   * Returns whether a late answer reports a state from before the last order that the engine
+   * accepted.
+   */
   private static boolean isOutdated(EngineState state, EngineEntry entry) {
     boolean sameIncarnation = state.incarnation() == entry.state().incarnation();
     return sameIncarnation && state.fence().compareTo(entry.state().fence()) < 0;
--- a/fallturn-core/src/main/java/org/fallturn/core/orders/VersionRollout.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/VersionRollout.java
@@ -10,35 +10,36 @@
 import org.fallturn.core.port.engine.EngineState;
 
 /**
- * Picks the engines of one pool that should load the version the operators want, a few at a time
- * and from the role that has the most engines left. Owned by one thread.
+ * Chooses the engines of one pool that load the version that the operators want, a few at a time
+ * and from the role with the most serving engines. Owned by one thread.
  */
 public final class VersionRollout {
 
-  private static final int SHARE_OF_POOL = 8;
+  private static final int ENGINES_PER_LOAD = 8;
 
   private final Map<EngineId, EngineState> states = new HashMap<>();
 
-  /** Takes over which engines the pool has. */
+  /** Updates the set of engines of the pool. */
   public void onEngines(Set<EngineId> present) {
     states.keySet().retainAll(present);
   }
 
-  /** An engine has told its state. */
+  /** Takes the state that an engine has reported. */
   public void onState(EngineState state) {
     states.put(state.engine(), state);
   }
 
-  /** Last state an engine told. */
+  /** Returns the last state that an engine has reported. */
   public Optional<EngineState> state(EngineId engine) {
     return Optional.ofNullable(states.get(engine));
   }
 
   /**
-   * The next engine to drain and load; empty for none now.
+   * Returns the next engine to drain and load; empty when there is none now.
    *
-   * @param target the version wanted; empty leaves every engine as it is
-   * @param busy engines that are drained or ordered already, for whatever reason
+   * @param target the wanted version; when it is empty, no engine changes
+   * @param busy engines that are already being drained or have an order in progress, for whatever
+   *     reason
    */
   public Optional<EngineId> next(String target, Set<EngineId> busy) {
     if (target.isEmpty() || unavailable(busy) >= allowedAtOnce()) {
@@ -54,7 +55,7 @@
   }
 
   private int allowedAtOnce() {
-    return Math.max(1, states.size() / SHARE_OF_POOL);
+    return Math.max(1, states.size() / ENGINES_PER_LOAD);
   }
 
   private long unavailable(Set<EngineId> busy) {
--- a/fallturn-core/src/main/java/org/fallturn/core/orders/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/package-info.java
@@ -1,2 +1,2 @@
-/** Orders to engines: numbering, fences, what is in progress, shares of the weight store. */
+/** Orders to engines: numbering, fences, orders in progress, and the shares of the weight store. */
 package org.fallturn.core.orders;
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/InitialCountsStore.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/InitialCountsStore.java
@@ -4,17 +4,18 @@
 import org.fallturn.core.port.table.StoreException;
 
 /**
- * Port: how many engines each service had in each zone before any order. Calls block their thread
- * for a bounded time; one thread calls.
+ * Port: stores how many engines each service had in each zone before any order was given. Calls
+ * block their thread for a bounded time; one thread calls.
  */
 public interface InitialCountsStore {
 
   /**
-   * Fixes the numbers of a service, unless they were fixed before.
+   * Records the counts of a service unless they have been recorded before.
    *
-   * @param observed engines by zone
-   * @return the numbers that hold
-   * @throws StoreException when no usable answer came; the numbers may have been fixed
+   * @param service the service
+   * @param observed number of engines by zone
+   * @return the recorded counts
+   * @throws StoreException when no usable answer arrived; the counts may have been recorded
    */
   Map<String, Integer> fix(String service, Map<String, Integer> observed) throws StoreException;
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleApi.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleApi.java
@@ -2,14 +2,15 @@
 
 import org.fallturn.core.usage.DutyOutcome;
 
-/** Port: the platform's API that takes orders for engines. Blocks its thread for a bounded time. */
+/** Port: the platform's API for ordering engines. Calls block their thread for a bounded time. */
 public interface ScaleApi {
 
   /**
-   * Gives an order; an exact repeat does no harm.
+   * Sends an order. Sending exactly the same order again has no further effect.
    *
-   * @param holder node that has the duty
-   * @param fencingToken rises with each holder
+   * @param order the order
+   * @param holder name of the node that holds the lease
+   * @param fencingToken token of the lease, which rises each time it is taken
    */
   DutyOutcome scale(ScaleOrder order, String holder, long fencingToken) throws InterruptedException;
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleControl.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleControl.java
@@ -10,10 +10,10 @@
 import org.fallturn.core.usage.DutyOutcome;
 
 /**
- * The planners of all services whose engines may be ordered. One thread calls.
+ * Holds the planners of all services whose engines may be ordered. One thread calls.
  *
- * <p>Invariant: orders are planned only by a node that has led for a while, from a list of engines
- * that is known to be new.
+ * <p>Invariant: it plans orders only on a node that has been the leader for a while and whose list
+ * of engines is known to be up to date. The caller ensures this.
  */
 public final class ScaleControl {
 
@@ -22,30 +22,30 @@
   private EngineDirectory directory = EngineDirectory.empty();
   private Collection<ServiceDefinition> services = List.of();
 
-  /** A control that knows no service. */
+  /** Creates a control without services. */
   public ScaleControl(ScaleParameters parameters) {
     this.parameters = parameters;
   }
 
-  /** Takes a newer list of engines. */
+  /** Takes an updated list of engines. */
   public void setDirectory(EngineDirectory newDirectory) {
     directory = newDirectory;
   }
 
-  /** Takes a newer set of services. */
+  /** Takes an updated set of services. */
   public void setServices(Collection<ServiceDefinition> newServices) {
     services = newServices;
   }
 
-  /** What is to be done now, if anything. */
+  /** Returns the next action, if any. */
   public Optional<ScaleAction> wanted(long nowNanos) {
     for (ServiceDefinition service : services) {
       if (service.scaling().isPresent()) {
-        Optional<ScaleAction> wish =
+        Optional<ScaleAction> action =
             planner(service.name())
                 .wanted(service.scaling().get(), directory.ofService(service.name()), nowNanos);
-        if (wish.isPresent()) {
-          return wish;
+        if (action.isPresent()) {
+          return action;
         }
       }
     }
@@ -56,12 +56,12 @@
     return planners.computeIfAbsent(service, name -> new ScalePlanner(name, parameters));
   }
 
-  /** The numbers of a service before any order. */
+  /** Takes the recorded counts of a service, from before any order. */
   public void onInitialCounts(String service, Map<String, Integer> byZone) {
     planner(service).onInitialCounts(byZone);
   }
 
-  /** An order was answered, or not. */
+  /** Handles the answer to an order, or its absence. */
   public void onAnswer(ScaleOrder order, DutyOutcome outcome, long nowNanos) {
     services.stream()
         .filter(service -> service.name().equals(order.service()))
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleParameters.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleParameters.java
@@ -1,10 +1,10 @@
 package org.fallturn.core.scaling;
 
 /**
- * Constants of scaling; see the settings of section {@code scaling} for their bounds.
+ * Parameters of scaling; the settings in section {@code scaling} give their bounds.
  *
- * @param enabled whether the numbers of engines are ever ordered
- * @param ownShare share of a zone's standing engines that are kept as the service's own
- * @param leastStageShare share of the engines that each stage keeps
+ * @param enabled whether engines are ordered from the platform
+ * @param ownShare share of a zone's initial engines that the service keeps as its own
+ * @param leastStageShare minimum share of the engines that each stage keeps
  */
 public record ScaleParameters(boolean enabled, double ownShare, double leastStageShare) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/ScalePlanner.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/ScalePlanner.java
@@ -16,84 +16,96 @@
 import org.fallturn.core.usage.DutyOutcome;
 
 /**
- * Decides how many engines of one service run where. Engines on loan cost a part of the others and
- * may be taken away, a zone at a time: a few of a zone's own stay, the others are replaced by loans
- * that are spread over the zones. When loans are taken away, or none are to be had in a zone, the
- * missing ones are ordered in the other zones, so that the load of a zone that is lost lasts for
- * the start of an engine.
+ * Decides how many engines of one service run in each zone. Loaned engines cost a fraction of the
+ * price of own ones, but the platform may reclaim all of a zone at once. The planner keeps a few
+ * own engines in each zone and replaces the others by loaned ones that are spread over the zones.
+ * When loaned engines are reclaimed, or a zone has none to offer, it orders the missing ones in the
+ * other zones, so that the loss of a zone's capacity lasts only as long as an engine takes to
+ * start.
  *
- * <p>Invariants: own engines are given up only once the loans in their place serve and both stages
- * have their share; loans are never ordered down; no order is given in the first moments, while the
- * list of engines is still growing. One thread calls, several times a second.
+ * <p>Invariants: own engines are given up only when the loaned engines that replace them serve
+ * requests and both stages have their minimum share; the number of loaned engines is never reduced
+ * by an order; no order is given at first, while the list of engines is still growing. One thread
+ * calls, several times a second.
  */
 public final class ScalePlanner {
 
   /**
-   * While a list grows at a start, engines come less than a second apart: changes 0.76 s apart were
-   * seen in a list that grew for some 5 s.
+   * Time without changes after which the list of engines counts as complete. At startup, engines
+   * appear less than a second apart: changes 0.76 s apart were seen in a list that grew for about 5
+   * s.
    */
   private static final long STABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  /** Beyond its start, an engine takes two heartbeats of 1.2 s to be known. */
-  private static final Duration NEWS = Duration.ofSeconds(3);
+  /** Time after its start until an engine is known here: two heartbeats of 1.2 s. */
+  private static final Duration REPORT_DELAY = Duration.ofSeconds(3);
 
-  /** Where none were to be had, they are asked for again after a while; each call has its price. */
-  private static final long REFUSED_NANOS = TimeUnit.SECONDS.toNanos(3);
+  /**
+   * Time until a zone that had no loaned engines is asked again; each call to the platform costs
+   * something.
+   */
+  private static final long REFUSAL_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private final String service;
   private final ScaleParameters parameters;
   private final Map<String, Ordered> orderedLoans = new HashMap<>();
   private final Map<String, Ordered> orderedOwn = new HashMap<>();
   private final Map<String, Long> refusedUntil = new HashMap<>();
-  private Map<String, Integer> standing = Map.of();
-  private Map<String, Integer> lastSeen = Map.of();
-  private long lastSeenNanos;
+  private Map<String, Integer> initialCounts = Map.of();
+  private Map<String, Integer> lastCounts = Map.of();
+  private long lastChangeNanos;
 
-  /** Engines of a kind that a zone will have once an order is carried out and known. */
+  /**
+   * Number of engines of a kind that a zone will have once an order has been carried out and is
+   * known here.
+   */
   private record Ordered(int count, long untilNanos) {}
 
-  /** A planner that has seen nothing. */
+  /** Creates a planner without observations. */
   public ScalePlanner(String service, ScaleParameters parameters) {
     this.service = service;
     this.parameters = parameters;
   }
 
-  /** The numbers before any order, as the store holds them. */
+  /** Takes the counts from before any order, as the store holds them. */
   public void onInitialCounts(Map<String, Integer> byZone) {
-    standing = new TreeMap<>(byZone);
+    initialCounts = new TreeMap<>(byZone);
   }
 
-  /** What is to be done now, if anything; the same until it was answered. */
+  /** Returns the next action, if any; the result stays the same until the action is answered. */
   public Optional<ScaleAction> wanted(
       ScalingTerms terms, Collection<ServingEngine> listed, long nowNanos) {
     if (!parameters.enabled() || terms.loanPrice().isEmpty()) {
       return Optional.empty();
     }
-    List<ServingEngine> staying = listed.stream().filter(e -> !e.leaving()).toList();
-    if (!isStable(counts(staying, false), nowNanos)) {
+    List<ServingEngine> remaining = listed.stream().filter(e -> !e.leaving()).toList();
+    if (!isStable(counts(remaining, false), nowNanos)) {
       return Optional.empty();
     }
-    if (standing.isEmpty()) {
-      return Optional.of(new ScaleAction.RecordInitialCounts(service, lastSeen));
+    if (initialCounts.isEmpty()) {
+      return Optional.of(new ScaleAction.RecordInitialCounts(service, lastCounts));
     }
     if (!loansPay(terms)) {
       return Optional.empty();
     }
-    return wantedLoans(terms, staying, nowNanos)
-        .or(() -> wantedOwn(staying, nowNanos))
+    return wantedLoans(terms, remaining, nowNanos)
+        .or(() -> wantedOwnReduction(remaining, nowNanos))
         .map(ScaleAction.SendOrder::new);
   }
 
-  /** Only own engines count here: loans come and go by orders. */
+  /**
+   * Returns whether the list of engines has stopped growing. Only own engines count, since loaned
+   * engines come and go by orders.
+   */
   private boolean isStable(Map<String, Integer> own, long nowNanos) {
-    if (own.isEmpty() && lastSeen.isEmpty()) {
+    if (own.isEmpty() && lastCounts.isEmpty()) {
       return false;
     }
-    if (!own.equals(lastSeen)) {
-      lastSeen = own;
-      lastSeenNanos = nowNanos;
+    if (!own.equals(lastCounts)) {
+      lastCounts = own;
+      lastChangeNanos = nowNanos;
     }
-    return !standing.isEmpty() || nowNanos - lastSeenNanos >= STABLE_NANOS;
+    return !initialCounts.isEmpty() || nowNanos - lastChangeNanos >= STABLE_NANOS;
   }
 
   private static Map<String, Integer> counts(List<ServingEngine> engines, boolean loans) {
@@ -105,34 +117,41 @@
   }
 
   private int ownTarget(String zone) {
-    return Math.max(1, (int) Math.ceil(parameters.ownShare() * standing.getOrDefault(zone, 0)));
+    return Math.max(
+        1, (int) Math.ceil(parameters.ownShare() * initialCounts.getOrDefault(zone, 0)));
   }
 
   /**
-   * Loans of the whole service: so many that those of all zones but one are as many as the engines
-   * they replace. With as many as these alone, a zone taken away before a burst left 0.35 of the
-   * worth of its worst two seconds; with 1.4 times as many, 0.55.
+   * Returns the number of loaned engines for the whole service. Those of all zones but one must be
+   * as many as the engines that they replace. With only that many in all zones together, losing a
+   * zone before a burst left 0.35 of the value of the burst's worst two seconds; with 1.4 times as
+   * many, 0.55.
    */
   private int loanTarget() {
     int givenUp =
-        standing.keySet().stream().mapToInt(zone -> standing.get(zone) - ownTarget(zone)).sum();
-    return (int) Math.ceil(loansAnEngine() * Math.max(0, givenUp));
+        initialCounts.keySet().stream()
+            .mapToInt(zone -> initialCounts.get(zone) - ownTarget(zone))
+            .sum();
+    return (int) Math.ceil(loansPerEngine() * Math.max(0, givenUp));
   }
 
-  private double loansAnEngine() {
-    double zones = standing.size();
+  private double loansPerEngine() {
+    double zones = initialCounts.size();
     return zones / (zones - 1);
   }
 
-  /** Whether loans in all zones cost less than what they replace; in one zone all go at once. */
+  /**
+   * Returns whether loaned engines in all zones cost less than the engines they replace. With a
+   * single zone they do not pay, since all may be reclaimed at once.
+   */
   private boolean loansPay(ScalingTerms terms) {
-    return standing.size() > 1 && loansAnEngine() * terms.loanPrice().orElse(1) < 1;
+    return initialCounts.size() > 1 && loansPerEngine() * terms.loanPrice().orElse(1) < 1;
   }
 
   private Optional<ScaleOrder> wantedLoans(
-      ScalingTerms terms, List<ServingEngine> staying, long nowNanos) {
-    Map<String, Integer> own = counts(staying, false);
-    Map<String, Integer> loans = withOrdered(counts(staying, true), nowNanos);
+      ScalingTerms terms, List<ServingEngine> remaining, long nowNanos) {
+    Map<String, Integer> own = counts(remaining, false);
+    Map<String, Integer> loans = withOrderedLoans(counts(remaining, true), nowNanos);
     Map<String, Integer> wanted = new TreeMap<>(loans);
     int missing = loanTarget() - sum(loans);
     while (missing > 0) {
@@ -149,18 +168,21 @@
         .map(zone -> new ScaleOrder(service, zone, wanted.get(zone), true));
   }
 
-  private Map<String, Integer> withOrdered(Map<String, Integer> listed, long nowNanos) {
+  private Map<String, Integer> withOrderedLoans(Map<String, Integer> listed, long nowNanos) {
     orderedLoans.values().removeIf(ordered -> nowNanos - ordered.untilNanos() >= 0);
     Map<String, Integer> loans = new TreeMap<>(listed);
     orderedLoans.forEach((zone, ordered) -> loans.merge(zone, ordered.count(), Math::max));
     return loans;
   }
 
-  /** The zone with the fewest loans in which there is room and none were refused lately. */
+  /**
+   * Returns the zone with the fewest loaned engines that is below its limit and has not refused any
+   * recently.
+   */
   private Optional<String> emptiestZone(
       ScalingTerms terms, Map<String, Integer> own, Map<String, Integer> loans, long nowNanos) {
     refusedUntil.values().removeIf(until -> nowNanos - until >= 0);
-    Set<String> zones = new TreeSet<>(standing.keySet());
+    Set<String> zones = new TreeSet<>(initialCounts.keySet());
     zones.removeIf(
         zone ->
             refusedUntil.containsKey(zone)
@@ -175,22 +197,22 @@
             });
   }
 
-  /** Gives own engines up, as far as the fleet stays as large as it is to be. */
-  private Optional<ScaleOrder> wantedOwn(List<ServingEngine> staying, long nowNanos) {
-    Map<String, Integer> listed = counts(staying, false);
-    Map<String, Integer> own = withGivenUp(listed, nowNanos);
-    int goingSoon = sum(listed) - sum(own);
-    int toSpare = staying.size() - goingSoon - fleetTarget();
-    if (toSpare <= 0 || !stagesHaveTheirShare(staying)) {
+  /** Returns an order that gives up own engines, as far as the fleet keeps its target size. */
+  private Optional<ScaleOrder> wantedOwnReduction(List<ServingEngine> remaining, long nowNanos) {
+    Map<String, Integer> listed = counts(remaining, false);
+    Map<String, Integer> own = withOrderedReductions(listed, nowNanos);
+    int leavingSoon = sum(listed) - sum(own);
+    int surplus = remaining.size() - leavingSoon - fleetTarget();
+    if (surplus <= 0 || !stagesHaveTheirMinimum(remaining)) {
       return Optional.empty();
     }
     return own.keySet().stream()
-        .filter(zone -> standing.containsKey(zone) && own.get(zone) > ownTarget(zone))
-        .filter(zone -> orderedLoans.isEmpty() || own.get(zone) - ownTarget(zone) <= toSpare)
+        .filter(zone -> initialCounts.containsKey(zone) && own.get(zone) > ownTarget(zone))
+        .filter(zone -> orderedLoans.isEmpty() || own.get(zone) - ownTarget(zone) <= surplus)
         .findFirst()
         .map(
             zone -> {
-              int count = Math.max(ownTarget(zone), own.get(zone) - toSpare);
+              int count = Math.max(ownTarget(zone), own.get(zone) - surplus);
               return new ScaleOrder(service, zone, count, false);
             });
   }
@@ -199,8 +221,8 @@
     return counts.values().stream().mapToInt(count -> count).sum();
   }
 
-  /** Own engines that stay once the orders so far are carried out. */
-  private Map<String, Integer> withGivenUp(Map<String, Integer> listed, long nowNanos) {
+  /** Returns the own engines that remain once all earlier orders have been carried out. */
+  private Map<String, Integer> withOrderedReductions(Map<String, Integer> listed, long nowNanos) {
     orderedOwn.values().removeIf(ordered -> nowNanos - ordered.untilNanos() >= 0);
     Map<String, Integer> own = new TreeMap<>(listed);
     orderedOwn.forEach(
@@ -210,26 +232,26 @@
   }
 
   private int fleetTarget() {
-    return loanTarget() + standing.keySet().stream().mapToInt(this::ownTarget).sum();
+    return loanTarget() + initialCounts.keySet().stream().mapToInt(this::ownTarget).sum();
   }
 
-  private boolean stagesHaveTheirShare(List<ServingEngine> staying) {
-    long prefill = staying.stream().filter(e -> e.stage() == EngineStage.PREFILL).count();
-    long decode = staying.stream().filter(e -> e.stage() == EngineStage.DECODE).count();
-    long least = (long) Math.floor(parameters.leastStageShare() * (prefill + decode));
-    return prefill >= least && decode >= least;
+  private boolean stagesHaveTheirMinimum(List<ServingEngine> remaining) {
+    long prefill = remaining.stream().filter(e -> e.stage() == EngineStage.PREFILL).count();
+    long decode = remaining.stream().filter(e -> e.stage() == EngineStage.DECODE).count();
+    long minimum = (long) Math.floor(parameters.leastStageShare() * (prefill + decode));
+    return prefill >= minimum && decode >= minimum;
   }
 
-  /** An order was answered, or not. */
+  /** Handles the answer to an order, or its absence. */
   public void onAnswer(ScaleOrder order, ScalingTerms terms, DutyOutcome outcome, long nowNanos) {
     boolean mayBeCarriedOut = outcome == DutyOutcome.TAKEN || outcome == DutyOutcome.UNANSWERED;
     if (!order.loan()) {
-      orderedOwn.put(order.zone(), new Ordered(order.count(), nowNanos + NEWS.toNanos()));
+      orderedOwn.put(order.zone(), new Ordered(order.count(), nowNanos + REPORT_DELAY.toNanos()));
     } else if (mayBeCarriedOut) {
-      long until = nowNanos + terms.boot().plus(NEWS).toNanos();
+      long until = nowNanos + terms.boot().plus(REPORT_DELAY).toNanos();
       orderedLoans.put(order.zone(), new Ordered(order.count(), until));
     } else {
-      refusedUntil.put(order.zone(), nowNanos + REFUSED_NANOS);
+      refusedUntil.put(order.zone(), nowNanos + REFUSAL_PAUSE_NANOS);
     }
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLease.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLease.java
@@ -7,20 +7,23 @@
 import org.fallturn.core.port.table.StoreException;
 
 /**
- * The right of one node to give orders to engines and to make the calls to the platform that are
- * one node's at a time, kept by a conditional write in the store. One lease and one fencing token
- * serve all of them.
+ * Lease that lets one node at a time give orders to engines and make the exclusive calls to the
+ * platform. It is a row in the store, taken by a conditional write. One lease and one fencing token
+ * serve all of these orders and calls.
  *
- * <p>Invariants: at any moment at most one node may order; the fencing token of each taking is
- * above all earlier ones; between the last order of a node and the first of another lies at least
- * the quiet time. The term runs on the store's clock for everybody else and on this node's own for
- * itself, counted from before it asked for the store's clock, so that the node's view ends first.
- * Nothing is renewed: whoever wants to order again takes the lease again. Thread-safe; a taking
- * blocks the others that want it.
+ * <p>Invariants: at any moment at most one node may give orders; each time the lease is taken, its
+ * fencing token is higher than all earlier ones; between the last order of one node and the first
+ * order of another at least the quiet time passes. For other nodes the term runs on the store's
+ * clock. For the holder it runs on its own clock, starting before the holder read the store's
+ * clock, so that the holder's view ends first. The lease is never renewed: a node that wants to
+ * give further orders takes it again. Thread-safe; while one thread takes the lease, others that
+ * want it block.
  */
 public final class OrderLease {
 
-  /** Ends a node's own view before the store's, for an order that is on its way. */
+  /**
+   * Ends the holder's view earlier than the store's, to cover an order that is still in transit.
+   */
   private static final long MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final OrderLeaseStore store;
@@ -32,10 +35,12 @@
   private long validUntilNanos;
 
   /**
-   * A lease that is not held.
+   * Creates a lease that is not held.
    *
+   * @param store the store with the row
    * @param node name of this node
-   * @param nanoClock this node's steady clock
+   * @param parameters term and quiet time
+   * @param nanoClock steady clock of this node
    */
   public OrderLease(
       OrderLeaseStore store, String node, StageParameters parameters, LongSupplier nanoClock) {
@@ -47,10 +52,10 @@
   }
 
   /**
-   * Takes the lease unless another node has it, or had it until a short while ago. One that this
-   * node has for at least half of its term still is good enough, which saves two calls.
+   * Takes the lease unless another node holds it or held it within the quiet time. If this node
+   * already holds it for at least half of the term, the lease is kept, which saves two calls.
    *
-   * @return whether this node may order now
+   * @return whether this node may give orders now
    * @throws StoreException when the store gave no usable answer; the lease is not held
    */
   public synchronized boolean take() throws StoreException {
@@ -58,9 +63,9 @@
       return true;
     }
     drop();
-    long askedNanos = nanoClock.getAsLong();
+    long requestedNanos = nanoClock.getAsLong();
     OrderLeaseReading reading = store.read();
-    if (!free(reading)) {
+    if (!isFree(reading)) {
       return false;
     }
     long untilMillis = reading.storeMillis() + term.toMillis();
@@ -69,11 +74,11 @@
       return false;
     }
     token = written.getAsLong();
-    validUntilNanos = askedNanos + term.toNanos() - MARGIN_NANOS;
+    validUntilNanos = requestedNanos + term.toNanos() - MARGIN_NANOS;
     return held();
   }
 
-  private boolean free(OrderLeaseReading reading) {
+  private boolean isFree(OrderLeaseReading reading) {
     return reading
         .row()
         .map(
@@ -83,17 +88,20 @@
         .orElse(true);
   }
 
-  /** Whether this node may order; asked right before each order is sent. */
+  /** Returns whether this node may give orders; checked right before each order is sent. */
   public synchronized boolean held() {
     return token != 0 && nanoClock.getAsLong() - validUntilNanos < 0;
   }
 
-  /** Number that goes with each order: engines refuse one that is lower than they have seen. */
+  /**
+   * Returns the fencing token of each order: engines refuse an order with a lower token than they
+   * have seen.
+   */
   public synchronized long token() {
     return token;
   }
 
-  /** Gives no order by this lease any more. */
+  /** Gives up the lease on this node; no further order is given under it. */
   public synchronized void drop() {
     token = 0;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLeaseRow.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLeaseRow.java
@@ -1,9 +1,9 @@
 package org.fallturn.core.stages;
 
 /**
- * The row of the store that says who may give orders.
+ * Row of the store that records which node may give orders.
  *
- * @param holder name of the node; a node that restarts keeps its name
- * @param untilMillis until when, on the store's steady clock
+ * @param holder name of the node; a node keeps its name when it restarts
+ * @param untilMillis end of the lease in ms on the store's steady clock
  */
 public record OrderLeaseRow(String holder, long untilMillis) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLeaseStore.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLeaseStore.java
@@ -4,8 +4,8 @@
 import org.fallturn.core.port.table.StoreException;
 
 /**
- * Port: the row of the store that says who may give orders. Calls block their thread for a bounded
- * time; one thread calls.
+ * Port: access to the row of the store that records which node may give orders. Calls block their
+ * thread for a bounded time; one thread calls.
  */
 public interface OrderLeaseStore {
 
@@ -13,10 +13,13 @@
   OrderLeaseReading read() throws StoreException;
 
   /**
-   * Writes the row if it still has a version.
+   * Writes the row if it still has the given version.
    *
-   * @return the new version, above that of every write before; empty when the version was another
-   * @throws StoreException when no answer came; the write may still take effect
+   * @param row new content
+   * @param expectedVersion version that the row must have; 0 when it must be absent
+   * @return the new version, higher than that of every earlier write; empty when the row had
+   *     another version
+   * @throws StoreException when no answer arrived; the write may still take effect
    */
   OptionalLong write(OrderLeaseRow row, long expectedVersion) throws StoreException;
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/StageChange.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/StageChange.java
@@ -4,9 +4,9 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * A wish that an engine takes another stage.
+ * Planned change of an engine to another stage.
  *
  * @param engine the engine
- * @param stage the stage it shall take
+ * @param stage the stage that it is to take
  */
 public record StageChange(ServingEngine engine, EngineStage stage) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/StageOutlook.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/StageOutlook.java
@@ -3,18 +3,18 @@
 import org.fallturn.core.routing.EngineStage;
 
 /**
- * What the planner of one service goes by at one moment, for the log. Immutable.
+ * Inputs and result of the stage planner of one service at one moment, for the log. Immutable.
  *
- * @param prefill engines that read prompts, those that change to it included
- * @param prefillServing those of them that take requests now
- * @param decode engines that decode, those that change to it included
- * @param decodeServing those of them that take requests now
- * @param changing engines that change their stage
- * @param prefillWaitMillis smoothed time that prompts wait at an engine that reads them, in ms
- * @param decodeWaitMillis the same at an engine that decodes
- * @param occupancy smoothed share of the decode slots that are taken, 0 to 1
- * @param peakOccupancy its past peak, as far as it is remembered
- * @param wanted the stage that an engine should take; {@link EngineStage#NONE} for no change
+ * @param prefill number of engines in the prefill stage, including those changing to it
+ * @param prefillServing number of these that accept requests now
+ * @param decode number of engines in the decode stage, including those changing to it
+ * @param decodeServing number of these that accept requests now
+ * @param changing number of engines that are changing their stage
+ * @param prefillWaitMillis smoothed time in ms that prompts wait at a prefill engine
+ * @param decodeWaitMillis smoothed time in ms that prompts wait at a decode engine
+ * @param occupancy smoothed share of the decode slots in use, 0 to 1
+ * @param peakOccupancy recent peak of this share, which decays over time
+ * @param wanted stage that an engine should take; {@link EngineStage#NONE} for no change
  */
 public record StageOutlook(
     int prefill,
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/StageParameters.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/StageParameters.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /**
- * Constants of stage changes; see the settings of section {@code stages} for their bounds.
+ * Parameters of stage changes; the settings in section {@code stages} give their bounds.
  *
- * @param enabled whether engines are ever ordered to change
- * @param leastShare share of a service's engines that each stage keeps, 0 to 0.5
- * @param leaseTerm how long the right to give orders lasts once it was taken
- * @param leaseQuiet how long after that right has ended another node may take it
+ * @param enabled whether engines are ordered to change their stage
+ * @param leastShare minimum share of a service's engines that each stage keeps, 0 to 0.5
+ * @param leaseTerm how long a node may give orders after it has taken the lease
+ * @param leaseQuiet time after the end of a lease before another node may take it
  */
 public record StageParameters(
     boolean enabled, double leastShare, Duration leaseTerm, Duration leaseQuiet) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/StagePlanner.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/StagePlanner.java
@@ -10,64 +10,69 @@
 import org.fallturn.core.routing.EngineStage;
 
 /**
- * Decides when an engine of one service changes its stage. Prompts that wait while decode slots are
- * free make a decode engine read prompts; streams that crowd while prefill engines have nothing to
- * do make one decode again. It answers a mix of prompts and answers that moves within tens of
- * seconds; what turns sooner than an engine changes is left to placement.
+ * Decides when an engine of one service changes its stage. When prompts wait while decode slots are
+ * free, a decode engine changes to prefill. When streams compete for slots while prefill engines
+ * are idle, one changes back to decode. This follows shifts in the mix of prompts and answers over
+ * tens of seconds. Shifts that are shorter than the stage change of an engine are left to request
+ * placement.
  *
- * <p>Invariants: no change takes a stage below its least share of the engines, and never below one;
- * a stage that has fallen below it, since engines left, is filled up first; only a bounded part of
- * the engines changes at once, a larger one while nothing runs; a change by load is not undone
- * within {@link #REVERSAL_NANOS}. Load is smoothed, so that one long prompt moves nothing. One
- * thread calls, about every 100 ms.
+ * <p>Invariants: no change reduces a stage below its minimum share of the engines, or below one
+ * engine; a stage that has fallen below its minimum because engines left is filled up first; only a
+ * limited part of the engines changes at the same time, a larger one while nothing runs; a change
+ * made because of load is not reversed within {@link #REVERSAL_NANOS}. Load is smoothed, so that
+ * one long prompt causes no change. One thread calls, about every 100 ms.
  */
 public final class StagePlanner {
 
-  /** Prompts that wait longer than this on average are short of prefill engines. */
+  /** Mean wait of prompts above which prefill engines are too few. */
   private static final double LONG_WAIT_MILLIS = 60;
 
-  /** Prompts that wait less than this on average have prefill engines to spare. */
+  /** Mean wait of prompts below which there are prefill engines to spare. */
   private static final double SHORT_WAIT_MILLIS = 15;
 
-  /** Share of the decode slots that may be taken after a decode engine is given away. */
-  private static final double ROOMY_OCCUPANCY = 0.4;
+  /**
+   * Maximum share of the decode slots that may be in use after a decode engine has changed to
+   * prefill.
+   */
+  private static final double LOW_OCCUPANCY = 0.4;
 
-  /** Share of the decode slots above which streams crowd each other. */
-  private static final double CROWDED_OCCUPANCY = 0.75;
+  /** Share of the decode slots above which streams compete for them. */
+  private static final double HIGH_OCCUPANCY = 0.75;
 
   private static final double SMOOTHING_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
 
-  /** How fast a past peak of taken decode slots is forgotten. */
+  /** Time constant with which an earlier peak of the occupied decode slots decays. */
   private static final double PEAK_NANOS = TimeUnit.SECONDS.toNanos(15);
 
   /**
-   * Between two changes the effect of the first must show; where several engines may be away at
-   * once, between as many.
+   * Minimum time between two changes, so that the effect of the first becomes visible. When several
+   * engines may change at the same time, that many changes may start within this time.
    */
   private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
 
-  /** So long a stage is below its least share before it is filled up. */
-  private static final long MISSED_NANOS = TimeUnit.SECONDS.toNanos(3);
+  /** How long a stage must be below its minimum before it is filled up. */
+  private static final long SHORTAGE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   static final long REVERSAL_NANOS = TimeUnit.SECONDS.toNanos(8);
 
-  /** One of so many engines may be away at once, and always one. */
+  /** One engine out of this number may change at a time, and always at least one. */
   private static final int ENGINES_PER_CHANGE = 16;
 
   /**
-   * The same while hardly anything runs, as before the first callers come, when engines on loan
-   * start in one stage and a third of them has to take the other within some ten seconds.
+   * Replaces {@link #ENGINES_PER_CHANGE} while almost nothing runs. Before the first callers
+   * arrive, loaned engines start in one stage, and a third of them has to change to the other
+   * within about ten seconds.
    */
   private static final int ENGINES_PER_CHANGE_WHEN_IDLE = 4;
 
   /**
-   * Share of the engines that each stage has before any load was seen: engines that keep nothing
-   * yet read every prompt whole, so that the first callers need more of them than those that
-   * follow.
+   * Share of the engines in each stage before any load has been seen. Engines with empty caches
+   * read every prompt as a whole, so that the first callers need more prefill engines than later
+   * ones.
    */
   private static final double SHARE_BEFORE_LOAD = 0.5;
 
-  /** Share of the decode slots below which an engine that is away is not missed. */
+  /** Share of the decode slots below which an engine can change without being missed. */
   private static final double IDLE_OCCUPANCY = 0.02;
 
   private final double leastShare;
@@ -80,18 +85,18 @@
   private boolean loadSeen;
   private EngineStage lastStage = EngineStage.NONE;
   private long lastChangeNanos;
-  private OptionalLong missedSinceNanos = OptionalLong.empty();
+  private OptionalLong shortageSinceNanos = OptionalLong.empty();
 
   /**
-   * A planner that has seen nothing.
+   * Creates a planner without observations.
    *
-   * @param leastShare share of the engines that each stage keeps
+   * @param leastShare minimum share of the engines that each stage keeps
    */
   public StagePlanner(double leastShare) {
     this.leastShare = leastShare;
   }
 
-  /** Takes the present load of all engines of the service. */
+  /** Updates the smoothed load with the current load of all engines of the service. */
   public void observe(List<StageView> engines, long nowNanos) {
     double share = observed ? 1 - Math.exp(-(nowNanos - observedNanos) / SMOOTHING_NANOS) : 1;
     double decay = observed ? Math.exp(-(nowNanos - observedNanos) / PEAK_NANOS) : 0;
@@ -124,9 +129,11 @@
     return slots == 0 ? 0 : (double) running / slots;
   }
 
-  /** The change to be ordered next, if any; the same until {@link #onOrdered}. */
+  /**
+   * Returns the next change to order, if any; the result stays the same until {@link #onOrdered}.
+   */
   public Optional<StageChange> wanted(List<StageView> engines, long nowNanos) {
-    int changing = (int) engines.stream().filter(StagePlanner::changes).count();
+    int changing = (int) engines.stream().filter(StagePlanner::isChanging).count();
     boolean idle = peakOccupancy < IDLE_OCCUPANCY;
     int perChange = idle ? ENGINES_PER_CHANGE_WHEN_IDLE : ENGINES_PER_CHANGE;
     int atOnce = Math.max(1, engines.size() / perChange);
@@ -136,17 +143,17 @@
     if (lastStage != EngineStage.NONE && nowNanos - lastChangeNanos < PAUSE_NANOS / atOnce) {
       return Optional.empty();
     }
-    return wantedStage(engines, nowNanos).flatMap(next -> leastMissed(engines, next));
+    return wantedStage(engines, nowNanos).flatMap(next -> leastLoadedEngine(engines, next));
   }
 
-  /** What the next decision goes by. */
+  /** Returns the inputs and the result of the next decision. */
   public StageOutlook outlook(List<StageView> engines, long nowNanos) {
     return new StageOutlook(
         count(engines, EngineStage.PREFILL),
         serving(engines, EngineStage.PREFILL),
         count(engines, EngineStage.DECODE),
         serving(engines, EngineStage.DECODE),
-        (int) engines.stream().filter(StagePlanner::changes).count(),
+        (int) engines.stream().filter(StagePlanner::isChanging).count(),
         prefillWaitMillis,
         decodeWaitMillis,
         occupancy,
@@ -158,11 +165,11 @@
     return (int) engines.stream().filter(view -> view.serves(stage)).count();
   }
 
-  private static boolean changes(StageView view) {
+  private static boolean isChanging(StageView view) {
     return view.changingTo() != EngineStage.NONE;
   }
 
-  private boolean undoes(EngineStage next, long nowNanos) {
+  private boolean reversesLastChange(EngineStage next, long nowNanos) {
     boolean reverses = lastStage != EngineStage.NONE && lastStage != next;
     return reverses && nowNanos - lastChangeNanos < REVERSAL_NANOS;
   }
@@ -171,53 +178,60 @@
     int prefill = count(engines, EngineStage.PREFILL);
     int decode = count(engines, EngineStage.DECODE);
     double share = loadSeen ? leastShare : Math.max(leastShare, SHARE_BEFORE_LOAD);
-    int least = Math.max(1, (int) Math.ceil(share * (prefill + decode)));
-    Optional<EngineStage> missed = belowFloor(prefill, decode, least);
-    if (missed.isPresent()) {
-      return missed.filter(stage -> lasts(nowNanos));
+    int minimum = Math.max(1, (int) Math.ceil(share * (prefill + decode)));
+    Optional<EngineStage> shortStage = belowMinimum(prefill, decode, minimum);
+    if (shortStage.isPresent()) {
+      return shortStage.filter(stage -> shortageLasts(nowNanos));
     }
-    missedSinceNanos = OptionalLong.empty();
-    return wantedByLoad(prefill, decode, least).filter(next -> !undoes(next, nowNanos));
+    shortageSinceNanos = OptionalLong.empty();
+    return wantedByLoad(prefill, decode, minimum)
+        .filter(next -> !reversesLastChange(next, nowNanos));
   }
 
-  private Optional<EngineStage> wantedByLoad(int prefill, int decode, int least) {
-    if (decode > least && shortOfPrefill(decode)) {
+  private Optional<EngineStage> wantedByLoad(int prefill, int decode, int minimum) {
+    if (decode > minimum && shortOfPrefill(decode)) {
       return Optional.of(EngineStage.PREFILL);
     }
-    if (prefill > least && shortOfDecode()) {
+    if (prefill > minimum && shortOfDecode()) {
       return Optional.of(EngineStage.DECODE);
     }
     return Optional.empty();
   }
 
-  /** Engines crash and leave: a stage may have fallen below its least share without any order. */
-  private static Optional<EngineStage> belowFloor(int prefill, int decode, int least) {
-    if (decode < least && prefill > least) {
+  /**
+   * Returns the stage that is below its minimum. This can happen without any order, since engines
+   * crash and leave.
+   */
+  private static Optional<EngineStage> belowMinimum(int prefill, int decode, int minimum) {
+    if (decode < minimum && prefill > minimum) {
       return Optional.of(EngineStage.DECODE);
     }
-    if (prefill < least && decode > least) {
+    if (prefill < minimum && decode > minimum) {
       return Optional.of(EngineStage.PREFILL);
     }
     return Optional.empty();
   }
 
-  /** Not while engines are still being listed, at a start or when the store is back. */
-  private boolean lasts(long nowNanos) {
-    if (missedSinceNanos.isEmpty()) {
-      missedSinceNanos = OptionalLong.of(nowNanos);
+  /**
+   * Returns whether a stage has been below its minimum for long enough. The delay avoids changes
+   * while engines are still being listed, at startup or when the store has come back.
+   */
+  private boolean shortageLasts(long nowNanos) {
+    if (shortageSinceNanos.isEmpty()) {
+      shortageSinceNanos = OptionalLong.of(nowNanos);
     }
-    return nowNanos - missedSinceNanos.getAsLong() >= MISSED_NANOS;
+    return nowNanos - shortageSinceNanos.getAsLong() >= SHORTAGE_NANOS;
   }
 
   private boolean shortOfPrefill(int decode) {
     double occupancyAfter = peakOccupancy * decode / (decode - 1);
     return prefillWaitMillis > LONG_WAIT_MILLIS
-        && occupancyAfter < ROOMY_OCCUPANCY
+        && occupancyAfter < LOW_OCCUPANCY
         && decodeWaitMillis < prefillWaitMillis;
   }
 
   private boolean shortOfDecode() {
-    boolean crowded = occupancy > CROWDED_OCCUPANCY || decodeWaitMillis > LONG_WAIT_MILLIS;
+    boolean crowded = occupancy > HIGH_OCCUPANCY || decodeWaitMillis > LONG_WAIT_MILLIS;
     return crowded && prefillWaitMillis < SHORT_WAIT_MILLIS;
   }
 
@@ -225,8 +239,12 @@
     return (int) engines.stream().filter(view -> view.stageAfterChange() == stage).count();
   }
 
-  /** An engine of the zone that has most of the other stage, and of these the least loaded. */
-  private static Optional<StageChange> leastMissed(List<StageView> engines, EngineStage next) {
+  /**
+   * Chooses an engine in the zone with the most engines of the other stage, the least loaded of
+   * these.
+   */
+  private static Optional<StageChange> leastLoadedEngine(
+      List<StageView> engines, EngineStage next) {
     EngineStage other = next == EngineStage.PREFILL ? EngineStage.DECODE : EngineStage.PREFILL;
     Map<String, Long> byZone =
         engines.stream()
@@ -242,7 +260,7 @@
         .map(view -> new StageChange(view.engine(), next));
   }
 
-  /** The change is being ordered, by this node or another. */
+  /** Records that a change is being ordered, by this node or by another. */
   public void onOrdered(EngineStage stage, long nowNanos) {
     lastStage = stage;
     lastChangeNanos = nowNanos;
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/StageView.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/StageView.java
@@ -4,13 +4,15 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * One model engine as the planner of its service sees it at one moment.
+ * State of one model engine at one moment, as the planner of its service sees it.
  *
  * @param engine its entry in the directory
- * @param available whether requests may be sent there; not while it leaves, is suspended or changes
- * @param changingTo the stage it changes to; {@link EngineStage#NONE} when it does not change
- * @param running requests that all nodes have there
- * @param waitMillis time in ms that its unread prompt tokens take
+ * @param available whether requests may be sent to it; false while it leaves, is suspended or
+ *     changes its stage
+ * @param changingTo the stage that it is changing to; {@link EngineStage#NONE} when it is not
+ *     changing
+ * @param running number of requests of all nodes at the engine
+ * @param waitMillis time in ms that its unread prompt tokens will take
  */
 public record StageView(
     ServingEngine engine,
@@ -19,7 +21,7 @@
     int running,
     double waitMillis) {
 
-  /** The stage it has now, or will have once its change is done. */
+  /** Returns the stage that the engine has now, or will have when its change is done. */
   EngineStage stageAfterChange() {
     return changingTo == EngineStage.NONE ? engine.stage() : changingTo;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which engines of a service read prompts and which decode, when engines change between the two,
- * and who may order it. Pure: events in, decisions out; nothing here calls a network.
+ * Decides which engines of a service do prefill and which decode, when engines change between the
+ * two stages, and which node may order this. Free of side effects: events in, decisions out; no
+ * network calls.
  */
 package org.fallturn.core.stages;
--- a/fallturn-core/src/test/java/org/fallturn/core/orders/PoolOrderBookTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/orders/PoolOrderBookTest.java
@@ -20,13 +20,16 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Numbering, fences and what is in progress. */
+/**
+ * Tests numbering, fences and orders in progress: a lost answer, a restarted engine or a late
+ * answer must not let an old order take effect after a newer one.
+ */
 class PoolOrderBookTest {
 
   private static final EngineId ENGINE = new EngineId("engine-1");
   private static final EngineId SECOND = new EngineId("engine-2");
   private static final Epoch EPOCH = new Epoch(3);
-  private static final EngineCommand CHANGE = new EngineCommand.ChangeRole(EngineRole.PREFILL);
+  private static final EngineCommand CHANGE_ROLE = new EngineCommand.ChangeRole(EngineRole.PREFILL);
   private static final EngineCommand LOAD =
       new EngineCommand.LoadModel(new ModelName("model"), "2");
   private static final long RETRY = Duration.ofMillis(500).toNanos();
@@ -73,47 +76,52 @@
   }
 
   @Test
-  void nothingIsOrderedBeforeTheFenceIsAcknowledged() {
-    assertThat(book.submit(ENGINE, CHANGE, 0)).isEqualTo(refused(OrderDecision.Reason.NOT_FENCED));
+  void refusesOrdersBeforeTheFenceIsAcknowledged() {
+    assertThat(book.submit(ENGINE, CHANGE_ROLE, 0))
+        .isEqualTo(refused(OrderDecision.Reason.NOT_FENCED));
     assertThat(book.fencesDue(0)).containsExactly(ENGINE, SECOND);
     fence(ENGINE);
-    EngineOrder order = submitted(ENGINE, CHANGE);
+    EngineOrder order = submitted(ENGINE, CHANGE_ROLE);
     assertThat(order.number().epoch()).isEqualTo(EPOCH);
     assertThat(order.incarnation()).isEqualTo(1);
   }
 
   @Test
-  void nothingIsOrderedWhileAnOrderIsInProgress() {
+  void refusesOrdersWhileAnOrderIsInProgress() {
     fence(ENGINE);
-    EngineOrder order = submitted(ENGINE, CHANGE);
-    assertThat(book.submit(ENGINE, CHANGE, 0)).isEqualTo(refused(OrderDecision.Reason.IN_PROGRESS));
+    EngineOrder order = submitted(ENGINE, CHANGE_ROLE);
+    assertThat(book.submit(ENGINE, CHANGE_ROLE, 0))
+        .isEqualTo(refused(OrderDecision.Reason.IN_PROGRESS));
     accept(ENGINE, order, Activity.CHANGING_ROLE);
-    assertThat(book.submit(ENGINE, CHANGE, 0)).isEqualTo(refused(OrderDecision.Reason.IN_PROGRESS));
+    assertThat(book.submit(ENGINE, CHANGE_ROLE, 0))
+        .isEqualTo(refused(OrderDecision.Reason.IN_PROGRESS));
     book.onState(ENGINE, state(ENGINE, 1, order.number(), Activity.SERVING), 0);
-    submitted(ENGINE, CHANGE);
+    submitted(ENGINE, CHANGE_ROLE);
   }
 
   @Test
   void stateFromBeforeTheLastOrderDoesNotEndIt() {
     fence(ENGINE);
-    EngineOrder order = submitted(ENGINE, CHANGE);
+    EngineOrder order = submitted(ENGINE, CHANGE_ROLE);
     accept(ENGINE, order, Activity.CHANGING_ROLE);
     OrderNumber earlier = new OrderNumber(EPOCH, order.number().sequence() - 1);
     book.onState(ENGINE, state(ENGINE, 1, earlier, Activity.SERVING), 0);
-    assertThat(book.submit(ENGINE, CHANGE, 0)).isEqualTo(refused(OrderDecision.Reason.IN_PROGRESS));
+    assertThat(book.submit(ENGINE, CHANGE_ROLE, 0))
+        .isEqualTo(refused(OrderDecision.Reason.IN_PROGRESS));
   }
 
   @Test
   void lostAnswerIsSettledByAFenceWithAHigherNumber() {
     fence(ENGINE);
-    EngineOrder lost = submitted(ENGINE, CHANGE);
+    EngineOrder lost = submitted(ENGINE, CHANGE_ROLE);
     book.onNoAnswer(ENGINE, lost, 0);
-    assertThat(book.submit(ENGINE, CHANGE, 0)).isEqualTo(refused(OrderDecision.Reason.NOT_FENCED));
+    assertThat(book.submit(ENGINE, CHANGE_ROLE, 0))
+        .isEqualTo(refused(OrderDecision.Reason.NOT_FENCED));
     assertThat(book.fencesDue(RETRY)).contains(ENGINE);
-    EngineOrder barrier = book.raiseFence(ENGINE);
-    assertThat(barrier.number()).isGreaterThan(lost.number());
-    accept(ENGINE, barrier, Activity.SERVING);
-    assertThat(submitted(ENGINE, CHANGE).number()).isGreaterThan(barrier.number());
+    EngineOrder newFence = book.raiseFence(ENGINE);
+    assertThat(newFence.number()).isGreaterThan(lost.number());
+    accept(ENGINE, newFence, Activity.SERVING);
+    assertThat(submitted(ENGINE, CHANGE_ROLE).number()).isGreaterThan(newFence.number());
     assertThat(accept(ENGINE, lost, Activity.SERVING)).isInstanceOf(OrderResult.Stale.class);
   }
 
@@ -121,7 +129,8 @@
   void restartedEngineIsFencedAgain() {
     fence(ENGINE);
     book.onState(ENGINE, state(ENGINE, 2, OrderNumber.NONE, Activity.SERVING), 0);
-    assertThat(book.submit(ENGINE, CHANGE, 0)).isEqualTo(refused(OrderDecision.Reason.NOT_FENCED));
+    assertThat(book.submit(ENGINE, CHANGE_ROLE, 0))
+        .isEqualTo(refused(OrderDecision.Reason.NOT_FENCED));
   }
 
   @Test
@@ -141,7 +150,7 @@
     EngineOrder load = submitted(ENGINE, LOAD);
     assertThat(book.submit(SECOND, LOAD, 0)).isEqualTo(refused(OrderDecision.Reason.LOADS_LIMITED));
     assertThat(book.loadDemand(0)).isEqualTo(new LoadDemand(2, 1));
-    submitted(SECOND, CHANGE);
+    submitted(SECOND, CHANGE_ROLE);
     accept(ENGINE, load, Activity.LOADING_MODEL);
     book.onLoadSlots(2);
     assertThat(book.loadDemand(0).waiting()).isEqualTo(2);
--- a/fallturn-core/src/test/java/org/fallturn/core/scaling/ScalePlannerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/scaling/ScalePlannerTest.java
@@ -18,9 +18,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plays the platform's part: orders are carried out after a start, notices take a zone's loans away
- * while others start. Fifty engines at full price cost 0.17 of what they earn; the same number on
- * loan at 0.22 of it costs 0.04, as long as a zone that is taken away is made good elsewhere.
+ * Simulates the platform: ordered engines appear after their start time, and the loaned engines of
+ * a zone are reclaimed while others start.
+ *
+ * <p>Fifty engines at full price cost 0.17 of their revenue. The same number of loaned engines at
+ * 0.22 of the price costs 0.04 of it, provided that a reclaimed zone is replaced in the other
+ * zones.
  */
 class ScalePlannerTest {
 
@@ -35,7 +38,7 @@
   private final List<ServingEngine> engines = new ArrayList<>();
   private final List<Start> starting = new ArrayList<>();
   private final List<ScaleOrder> orders = new ArrayList<>();
-  private final List<String> dryZones = new ArrayList<>();
+  private final List<String> exhaustedZones = new ArrayList<>();
   private long millis = 1_000;
   private int number;
 
@@ -65,28 +68,28 @@
     List.of("a", "b", "c", "d").forEach(zone -> addOwn(zone, 12));
   }
 
-  private void play(long untilMillis) {
+  private void simulate(long untilMillis) {
     while (millis < untilMillis) {
       millis += 100;
       starting.stream().filter(s -> s.atMillis() <= millis).forEach(s -> engines.add(s.engine()));
       starting.removeIf(s -> s.atMillis() <= millis);
       long now = TimeUnit.MILLISECONDS.toNanos(millis);
-      planner.wanted(TERMS, engines, now).ifPresent(wish -> carryOut(wish, now));
+      planner.wanted(TERMS, engines, now).ifPresent(action -> carryOut(action, now));
     }
   }
 
-  private void carryOut(ScaleAction wish, long now) {
-    if (wish instanceof ScaleAction.RecordInitialCounts fix) {
+  private void carryOut(ScaleAction action, long now) {
+    if (action instanceof ScaleAction.RecordInitialCounts fix) {
       planner.onInitialCounts(fix.observed());
       return;
     }
-    ScaleOrder order = ((ScaleAction.SendOrder) wish).order();
+    ScaleOrder order = ((ScaleAction.SendOrder) action).order();
     orders.add(order);
-    boolean dry = order.loan() && dryZones.contains(order.zone());
-    if (!dry) {
+    boolean exhausted = order.loan() && exhaustedZones.contains(order.zone());
+    if (!exhausted) {
       obey(order);
     }
-    planner.onAnswer(order, TERMS, dry ? DutyOutcome.FENCED : DutyOutcome.TAKEN, now);
+    planner.onAnswer(order, TERMS, exhausted ? DutyOutcome.FENCED : DutyOutcome.TAKEN, now);
   }
 
   private void obey(ScaleOrder order) {
@@ -108,30 +111,31 @@
   }
 
   @Test
-  void ownEnginesAreReplacedOnceTheLoansServe() {
+  void ownEnginesAreReplacedOnceLoanedEnginesServe() {
     startFleet();
-    play(5_000);
+    simulate(5_000);
     assertThat(count(false)).as("nothing is given up before loans serve").isEqualTo(48);
-    play(20_000);
+    simulate(20_000);
     assertThat(count(true)).as("those of three zones replace the 40 given up").isEqualTo(54);
     assertThat(count(false)).isEqualTo(8);
-    // The limit of 25 leaves room for 13 loans beside 12 own engines; the last two go to one zone.
+    // The limit of 25 leaves room for 13 loaned engines beside 12 own engines, so the last two go
+    // to one zone.
     for (String zone : List.of("a", "b", "c", "d")) {
       long left = engines.stream().filter(e -> !e.zone().equals(zone)).count();
       assertThat(left).as("engines while " + zone + " is away").isGreaterThanOrEqualTo(45);
     }
     int before = orders.size();
-    play(60_000);
+    simulate(60_000);
     assertThat(orders).as("a fleet that is as it should be gets no orders").hasSize(before);
   }
 
   @Test
-  void aZoneThatIsTakenAwayIsMadeGoodInTheOthers() {
+  void reclaimedZoneIsReplacedInTheOthers() {
     startFleet();
-    play(20_000);
+    simulate(20_000);
     engines.removeIf(engine -> engine.zone().equals("b") && engine.reclaimable());
-    dryZones.add("b");
-    play(26_000);
+    exhaustedZones.add("b");
+    simulate(26_000);
     assertThat(count(true)).isEqualTo(54);
     assertThat(engines).noneMatch(e -> e.zone().equals("b") && e.reclaimable());
     assertThat(orders.stream().filter(order -> order.zone().equals("b") && order.loan()))
@@ -140,23 +144,23 @@
   }
 
   @Test
-  void limitsOfAZoneHoldForBothKindsTogether() {
+  void zoneLimitAppliesToBothKindsTogether() {
     List.of("a", "b").forEach(zone -> addOwn(zone, 20));
-    play(40_000);
+    simulate(40_000);
     assertThat(orders.stream().filter(ScaleOrder::loan))
         .allSatisfy(order -> assertThat(order.count()).isLessThanOrEqualTo(25));
     assertThat(count(true) + count(false)).isLessThanOrEqualTo(50);
   }
 
   @Test
-  void loansOfOneZoneAloneAreNotReliedOn() {
+  void loanedEnginesOfASingleZoneAreNotUsed() {
     addOwn("a", 12);
-    play(20_000);
+    simulate(20_000);
     assertThat(orders).isEmpty();
   }
 
   @Test
-  void withoutLoansNothingIsOrdered() {
+  void nothingIsOrderedWithoutLoanedEngines() {
     startFleet();
     ScalingTerms noLoans = new ScalingTerms(1, 25, BOOT, OptionalDouble.empty(), Map.of());
     for (int tick = 1; tick < 100; tick++) {
--- a/fallturn-core/src/test/java/org/fallturn/core/stages/OrderLeaseTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/stages/OrderLeaseTest.java
@@ -15,13 +15,17 @@
 import org.fallturn.core.port.table.StoreException;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests that two nodes never give orders at the same time or within the quiet time of each other,
+ * even when the answer of the store is lost and the write takes effect later.
+ */
 class OrderLeaseTest {
 
   private static final Duration TERM = Duration.ofSeconds(2);
   private static final Duration QUIET = Duration.ofSeconds(4);
   private static final StageParameters PARAMETERS = new StageParameters(true, 0.35, TERM, QUIET);
 
-  /** A store with a clock, whose answers may be lost and whose writes may come late. */
+  /** A store with its own clock that can lose answers and apply writes late. */
   private static final class Store implements OrderLeaseStore {
 
     private Optional<OrderLeaseRow> row = Optional.empty();
@@ -29,7 +33,7 @@
     private long version = 100;
     private long millis = 5_000;
     private boolean losesAnswers;
-    private Runnable late = () -> {};
+    private Runnable lateWrite = () -> {};
 
     @Override
     public OrderLeaseReading read() {
@@ -39,7 +43,7 @@
     @Override
     public OptionalLong write(OrderLeaseRow next, long expectedVersion) throws StoreException {
       if (losesAnswers) {
-        late = () -> apply(next, expectedVersion);
+        lateWrite = () -> apply(next, expectedVersion);
         throw new StoreException("no answer", true, null);
       }
       return apply(next, expectedVersion) ? OptionalLong.of(version) : OptionalLong.empty();
@@ -93,7 +97,7 @@
     assertThat(throwsOnTake(first)).isTrue();
     assertThat(first.held()).isFalse();
     store.losesAnswers = false;
-    store.late.run();
+    store.lateWrite.run();
     assertThat(lease("b").take()).as("the late write keeps others away").isFalse();
     assertThat(first.take()).isTrue();
   }
@@ -109,7 +113,10 @@
 
   private record Order(int node, long token, long millis) {}
 
-  /** Random takings, lost answers and late writes of three nodes, some of which restart. */
+  /**
+   * Takes the lease at random from three nodes, with lost answers, late writes and restarts of
+   * nodes.
+   */
   @Property(tries = 200, seed = "20261203")
   void tokensRiseAndNodesNeverOrderWithinTheQuietTimeOfEachOther(@ForAll long seed)
       throws StoreException {
@@ -124,7 +131,7 @@
       int node = random.nextInt(3);
       switch (random.nextInt(6)) {
         case 0 -> shared.losesAnswers = random.nextInt(3) == 0;
-        case 1 -> shared.late.run();
+        case 1 -> shared.lateWrite.run();
         case 2 -> leases[node] = new OrderLease(shared, "node-" + node, PARAMETERS, shared::nanos);
         case 3 -> throwsOnTake(leases[node]);
         default -> {
--- a/fallturn-core/src/test/java/org/fallturn/core/stages/StagePlannerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/stages/StagePlannerTest.java
@@ -11,6 +11,11 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Tests when an engine changes between prefill and decode: too few prefill engines make prompts
+ * wait, too few decode engines slow down streams, and each change takes an engine out of service
+ * for seconds.
+ */
 class StagePlannerTest {
 
   private static final int SLOTS = 32;
@@ -26,7 +31,7 @@
     return new StageView(engine, true, EngineStage.NONE, running, waitMillis);
   }
 
-  /** Five engines that read prompts and eight that decode, as at a day's beginning. */
+  /** Five prefill and eight decode engines, as at the start of a day. */
   private static List<StageView> fleet(double prefillWait, int running) {
     return fleet(5, 8, prefillWait, running);
   }
@@ -51,50 +56,50 @@
   }
 
   @Test
-  void waitingPromptsMakeADecodeEngineRead() {
+  void waitingPromptsMoveADecodeEngineToPrefill() {
     StageChange change = after(fleet(200, 2), 3).orElseThrow();
     assertThat(change.stage()).isEqualTo(EngineStage.PREFILL);
     assertThat(change.engine().stage()).isEqualTo(EngineStage.DECODE);
   }
 
   @Test
-  void calmFleetStaysAsItIs() {
+  void fleetWithoutWaitingPromptsDoesNotChange() {
     assertThat(after(fleet(20, 2), 30)).isEmpty();
   }
 
   @Test
-  void oneLongPromptMovesNothing() {
+  void singleLongPromptCausesNoChange() {
     after(fleet(0, 2), 5);
     planner.observe(fleet(300, 2), now + TICK);
     assertThat(planner.wanted(fleet(300, 2), now + TICK)).isEmpty();
   }
 
   @Test
-  void decodeEnginesWhoseSlotsAreTakenAreKept() {
+  void decodeEnginesWithOccupiedSlotsAreKept() {
     assertThat(after(fleet(200, 20), 3)).isEmpty();
   }
 
   @Test
-  void pastPeakOfStreamsIsRemembered() {
+  void earlierPeakOfStreamsIsRemembered() {
     after(fleet(0, 16), 3);
     assertThat(after(fleet(200, 2), 3)).isEmpty();
   }
 
   @Test
-  void eachStageKeepsItsLeastShare() {
+  void eachStageKeepsItsMinimumShare() {
     assertThat(after(fleet(8, 5, 500, 1), 5)).isEmpty();
     assertThat(after(fleet(1, 1, 500, 0), 5)).isEmpty();
   }
 
   @Test
-  void crowdedStreamsMakeAnIdlePrefillEngineDecode() {
+  void competingStreamsMoveAnIdlePrefillEngineToDecode() {
     StageChange change = after(fleet(6, 7, 0, 30), 3).orElseThrow();
     assertThat(change.stage()).isEqualTo(EngineStage.DECODE);
     assertThat(change.engine().stage()).isEqualTo(EngineStage.PREFILL);
   }
 
   @Test
-  void onlySoManyChangeAtOnce() {
+  void onlyOneEngineOfASmallFleetChangesAtATime() {
     List<StageView> views = fleet(200, 2);
     StageView first = views.get(views.size() - 1);
     views.set(views.size() - 1, new StageView(first.engine(), false, EngineStage.PREFILL, 0, 0));
@@ -102,7 +107,7 @@
   }
 
   @Test
-  void changeIsNotUndoneAtOnce() {
+  void changeIsNotReversedImmediately() {
     after(fleet(200, 2), 3);
     planner.onOrdered(EngineStage.PREFILL, now);
     assertThat(after(fleet(6, 7, 0, 31), 5)).isEmpty();
@@ -110,15 +115,18 @@
   }
 
   @Test
-  void engineComesFromTheZoneThatHasMostOfItsStage() {
+  void engineComesFromTheZoneWithMostEnginesOfItsStage() {
     List<StageView> views = fleet(200, 2);
     views.add(view("extra-3", EngineStage.DECODE, 5, 0));
     assertThat(after(views, 3).orElseThrow().engine().zone()).isEqualTo("3");
   }
 
-  /** Three engines were ordered to read, and then three of those that decode left. */
+  /**
+   * Guards against a stage that stays too small. Three engines were ordered to change to prefill,
+   * and then three of the decode engines left.
+   */
   @Test
-  void stageThatEnginesLeftIsFilledUpAgainWhateverTheLoad() {
+  void stageBelowItsMinimumIsFilledUpRegardlessOfLoad() {
     planner.onOrdered(EngineStage.PREFILL, now);
     assertThat(afterAsking(fleet(9, 2, 200, 1), 2)).as("it may be listed again").isEmpty();
     StageChange change = afterAsking(fleet(9, 2, 200, 1), 3).orElseThrow();
@@ -129,11 +137,11 @@
   }
 
   /**
-   * The first callers of a day waited most for their prompts to be read: nothing was kept yet, so
-   * that every prompt was read whole, while two thirds of the engines decoded and were idle.
+   * Guards against long waits of the first callers of a day. With empty caches every prompt was
+   * read as a whole, while two thirds of the engines were in the decode stage and idle.
    */
   @Test
-  void halfOfTheEnginesReadBeforeTheFirstCallerComes() {
+  void halfOfTheEnginesDoPrefillBeforeTheFirstCaller() {
     List<StageView> idle = fleet(4, 9, 0, 0).stream().map(StagePlannerTest::unused).toList();
     StageChange change = afterAsking(idle, 4).orElseThrow();
     assertThat(change.stage()).isEqualTo(EngineStage.PREFILL);
@@ -145,15 +153,15 @@
     return new StageView(view.engine(), true, EngineStage.NONE, 0, 0);
   }
 
-  /** Once load was seen, what waits decides, and an even split is not restored. */
+  /** Once load has been seen, waiting times decide, and an even split is not restored. */
   @Test
-  void halfIsNotRestoredOnceLoadWasSeen() {
+  void evenSplitIsNotRestoredAfterLoadWasSeen() {
     after(fleet(9, 4, 20, 1), 1);
     List<StageView> idle = fleet(9, 5, 0, 0).stream().map(StagePlannerTest::unused).toList();
     assertThat(afterAsking(idle, 6)).isEmpty();
   }
 
-  /** As the node does: asks what is wanted at each tick. */
+  /** Asks for the wanted change at each tick, as the node does. */
   private Optional<StageChange> afterAsking(List<StageView> views, int seconds) {
     Optional<StageChange> wanted = Optional.empty();
     for (int tick = 0; tick < 10 * seconds; tick++) {
