--- a/fallturn-core/src/main/java/org/fallturn/core/orders/PoolOrderBook.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/PoolOrderBook.java
@@ -70,14 +70,14 @@
   /** Returns the pool's demand for the weight store. */
   public LoadDemand loadDemand(long nowNanos) {
     waitingLoads.values().removeIf(since -> nowNanos - since > LOAD_WAIT_NANOS);
-    Set<EngineId> loading = new HashSet<>(waitingLoads.keySet());
+    Set<EngineId> enginesWithDemand = new HashSet<>(waitingLoads.keySet());
     engines.forEach(
         (engine, entry) -> {
           if (isLoading(entry)) {
-            loading.add(engine);
+            enginesWithDemand.add(engine);
           }
         });
-    return new LoadDemand(loading.size(), startedLoads);
+    return new LoadDemand(enginesWithDemand.size(), startedLoads);
   }
 
   /** Returns the engines to which a fence must be sent now. */
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLease.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLease.java
@@ -53,7 +53,7 @@
 
   /**
    * Takes the lease unless another node holds it or held it within the quiet time. If this node
-   * already holds it for at least half of the term, the lease is kept, which saves two calls.
+   * holds it and at least half of the term remains, it keeps the lease, which saves two calls.
    *
    * @return whether this node may give orders now
    * @throws StoreException when the store gave no usable answer; the lease is not held
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
@@ -14,8 +14,8 @@
 public final class SaturationLimits {
 
   /**
-   * Share of the number of requests at the rejection, because the count of other nodes' requests is
-   * outdated.
+   * Share of the requests counted at a rejection that becomes the limit, since the count of other
+   * nodes' requests is outdated.
    */
   private static final double SAFETY_FACTOR = 0.9;
 
--- a/fallturn-core/src/test/java/org/fallturn/core/scaling/ScalePlannerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/scaling/ScalePlannerTest.java
@@ -79,8 +79,8 @@
   }
 
   private void carryOut(ScaleAction action, long now) {
-    if (action instanceof ScaleAction.RecordInitialCounts fix) {
-      planner.onInitialCounts(fix.observed());
+    if (action instanceof ScaleAction.RecordInitialCounts recorded) {
+      planner.onInitialCounts(recorded.observed());
       return;
     }
     ScaleOrder order = ((ScaleAction.SendOrder) action).order();
@@ -114,9 +114,11 @@
   void ownEnginesAreReplacedOnceLoanedEnginesServe() {
     startFleet();
     simulate(5_000);
-    assertThat(count(false)).as("nothing is given up before loans serve").isEqualTo(48);
+    assertThat(count(false)).as("no own engine is given up before loaned ones serve").isEqualTo(48);
     simulate(20_000);
-    assertThat(count(true)).as("those of three zones replace the 40 given up").isEqualTo(54);
+    assertThat(count(true))
+        .as("the loaned engines of three zones replace the 40 given up")
+        .isEqualTo(54);
     assertThat(count(false)).isEqualTo(8);
     // The limit of 25 leaves room for 13 loaned engines beside 12 own engines, so the last two go
     // to one zone.
@@ -126,7 +128,7 @@
     }
     int before = orders.size();
     simulate(60_000);
-    assertThat(orders).as("a fleet that is as it should be gets no orders").hasSize(before);
+    assertThat(orders).as("a fleet at its target size gets no orders").hasSize(before);
   }
 
   @Test
@@ -139,7 +141,7 @@
     assertThat(count(true)).isEqualTo(54);
     assertThat(engines).noneMatch(e -> e.zone().equals("b") && e.reclaimable());
     assertThat(orders.stream().filter(order -> order.zone().equals("b") && order.loan()))
-        .as("a zone without loans is not asked over and over")
+        .as("a zone without loaned engines is not asked repeatedly")
         .hasSizeLessThanOrEqualTo(3);
   }
 
--- a/fallturn-core/src/test/java/org/fallturn/core/stages/OrderLeaseTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/stages/OrderLeaseTest.java
@@ -98,7 +98,9 @@
     assertThat(first.held()).isFalse();
     store.losesAnswers = false;
     store.lateWrite.run();
-    assertThat(lease("b").take()).as("the late write keeps others away").isFalse();
+    assertThat(lease("b").take())
+        .as("the late write keeps other nodes from taking the lease")
+        .isFalse();
     assertThat(first.take()).isTrue();
   }
 
--- a/fallturn-core/src/test/java/org/fallturn/core/stages/StagePlannerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/stages/StagePlannerTest.java
@@ -128,7 +128,7 @@
   @Test
   void stageBelowItsMinimumIsFilledUpRegardlessOfLoad() {
     planner.onOrdered(EngineStage.PREFILL, now);
-    assertThat(afterAsking(fleet(9, 2, 200, 1), 2)).as("it may be listed again").isEmpty();
+    assertThat(afterAsking(fleet(9, 2, 200, 1), 2)).as("the engines may be listed again").isEmpty();
     StageChange change = afterAsking(fleet(9, 2, 200, 1), 3).orElseThrow();
     assertThat(change.stage()).isEqualTo(EngineStage.DECODE);
     assertThat(afterAsking(fleet(6, 6, 0, 1), 2)).isEmpty();
