--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -42,12 +42,12 @@
 
   private final String zone;
   private final Map<String, EngineLoad> loads = new HashMap<>();
-  private final CachedParts cachedParts = new CachedParts();
+  private final PrefixCacheEstimates cachedParts = new PrefixCacheEstimates();
   private final Map<String, PromptSizes> sizes = new HashMap<>();
   private final PeerLoads peerLoads;
   private final EngineNotices notices;
   private final EnginePace pace;
-  private final Departures departures;
+  private final RecentDepartures departures;
   private final StayLengths stays = new StayLengths();
   private final ChangingEngines changing = new ChangingEngines();
   private EngineDirectory directory = EngineDirectory.empty();
@@ -69,7 +69,7 @@
     this.peerLoads = peerLoads;
     this.notices = notices;
     this.pace = pace;
-    this.departures = new Departures(lastResortNanos);
+    this.departures = new RecentDepartures(lastResortNanos);
   }
 
   /** Takes a new list; loads of engines that are gone stay until their requests have ended. */
@@ -183,7 +183,7 @@
     return loads;
   }
 
-  CachedParts cachedParts() {
+  PrefixCacheEstimates cachedParts() {
     return cachedParts;
   }
 
@@ -253,11 +253,11 @@
   }
 
   /** Who keeps some of a prompt now and can be copied from. */
-  PartHolders holders(RequestProgress progress, PromptShape prompt, long nowNanos) {
+  PrefixHolders holders(RequestProgress progress, PromptShape prompt, long nowNanos) {
     if (progress.source().isPresent() || prompt.sharedTokens() < MIN_COPIED_TOKENS) {
-      return PartHolders.none();
+      return PrefixHolders.none();
     }
-    List<PartHolders.Holder> holders = new ArrayList<>();
+    List<PrefixHolders.Holder> holders = new ArrayList<>();
     int soonTokens = 0;
     for (ServingEngine engine : directory.ofService(progress.service())) {
       if (!engine.leaving()) {
@@ -266,15 +266,15 @@
       }
       int tokens = cachedParts.readyTokens(engine.id(), prompt.parts(), nowNanos);
       if (tokens > 0 && usableSource(engine, nowNanos)) {
-        holders.add(new PartHolders.Holder(engine, tokens));
+        holders.add(new PrefixHolders.Holder(engine, tokens));
       }
     }
-    return PartHolders.of(holders, soonTokens);
+    return PrefixHolders.of(holders, soonTokens);
   }
 
   /** Whether this node or several others have suspended the engine. */
   boolean suspected(ServingEngine engine, long nowNanos) {
-    return load(engine).health().suspended() || peerLoads.suspects(engine.id(), nowNanos);
+    return load(engine).health().suspended() || peerLoads.suspectedByPeers(engine.id(), nowNanos);
   }
 
   private boolean usableSource(ServingEngine holder, long nowNanos) {
@@ -401,7 +401,7 @@
 
   private boolean healthy(ServingEngine engine, long nowNanos) {
     return load(engine).health().usable(nowNanos)
-        && !peerLoads.suspects(engine.id(), nowNanos)
+        && !peerLoads.suspectedByPeers(engine.id(), nowNanos)
         && changingTo(engine, nowNanos) == EngineStage.NONE;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceFeed.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -21,7 +21,7 @@
  * what was known when they were sent. Counted from when they were sent and with what was ahead, so
  * that an engine is not held to be slow for what waited there. One thread calls.
  */
-final class PaceFeed {
+final class PaceObserver {
 
   private static final double NANOS_PER_MILLI = 1e6;
   private static final double PERCENT = 100;
@@ -30,7 +30,7 @@
   private static final int SHORT_TOKENS = 1_000;
 
   private final LearnedPace learned;
-  private final Function<String, ReadingSpeed> speeds;
+  private final Function<String, PrefillSpeed> speeds;
   private final boolean enabled;
   private final Map<String, WorkKind> kinds = new HashMap<>();
 
@@ -39,7 +39,7 @@
    *
    * @param enabled whether anything is learned, told and gone by
    */
-  PaceFeed(PeerLoads peerLoads, Function<String, ReadingSpeed> speeds, boolean enabled) {
+  PaceObserver(PeerLoads peerLoads, Function<String, PrefillSpeed> speeds, boolean enabled) {
     this.learned = new LearnedPace(peerLoads::pace);
     this.speeds = speeds;
     this.enabled = enabled;
@@ -69,7 +69,7 @@
   }
 
   /** Takes what a listed engine says of itself. */
-  void onSaid(String engineId, ServerLoad load, long saidNanos) {
+  void onLoadReported(String engineId, ServerLoad load, long saidNanos) {
     if (enabled && kinds.containsKey(engineId) && load.pacePercent().isPresent()) {
       learned.onOwnWord(engineId, load.pacePercent().getAsInt() / PERCENT, saidNanos);
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
@@ -60,7 +60,7 @@
    * Other nodes' samples are told until they have faded: of each, the part that has passed since
    * the last turn is taken.
    */
-  void onTold(PaceWord told, double common, long passedNanos, long nowNanos) {
+  void onPeerReport(PaceWord told, double common, long passedNanos, long nowNanos) {
     double weight = told.samples() * Math.min(1, (double) passedNanos / PaceWord.FADE_NANOS);
     if (weight > 0) {
       double apart = told.mean() - common;
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/LearnedPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/LearnedPace.java
@@ -110,7 +110,7 @@
   private void takeTold(String engineId, KindPace kind, long passedNanos, long nowNanos) {
     PaceWord word = peers.of(engineId, nowNanos);
     if (word.samples() > 0) {
-      kind.engine(engineId).onTold(word, kind.common(), passedNanos, nowNanos);
+      kind.engine(engineId).onPeerReport(word, kind.common(), passedNanos, nowNanos);
     }
   }
 
