--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheCopyTime.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheCopyTime.java
@@ -5,8 +5,8 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * What it takes to copy cached parts of a prompt from one engine to another instead of reading them
- * again. Pure.
+ * Estimates how long it takes to copy cached parts of a prompt from one engine to another, which
+ * saves the receiving engine from reading (prefilling) them again. Stateless.
  */
 final class CacheCopyTime {
 
@@ -17,7 +17,13 @@
 
   private CacheCopyTime() {}
 
-  /** Time in ms to move so many tokens within a zone, without its setup. */
+  /**
+   * Returns the time in ms that the link takes to transfer the KV cache of some tokens within a
+   * zone, without the setup of the copy; 0 if the link's bandwidth is not known.
+   *
+   * @param tokens length of the copied parts in tokens
+   * @param profile bandwidth of the link and bytes per token
+   */
   static double moveMillis(long tokens, Optional<EngineProfile> profile) {
     if (profile.isEmpty() || profile.get().linkMegabitsPerSecond() <= 0) {
       return 0;
@@ -26,7 +32,13 @@
     return MILLIS_PER_SECOND * megabits / profile.get().linkMegabitsPerSecond();
   }
 
-  /** Time in ms to copy so many tokens between two engines. */
+  /**
+   * Returns the time in ms to copy the KV cache of some tokens between two engines, including the
+   * setup of the copy.
+   *
+   * @param tokens length of the copied parts in tokens
+   * @param profile bandwidth of the link and bytes per token
+   */
   static double copyMillis(
       long tokens, ServingEngine from, ServingEngine to, Optional<EngineProfile> profile) {
     int factor = from.zone().equals(to.zone()) ? 1 : OTHER_ZONE_FACTOR;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheListing.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheListing.java
@@ -4,28 +4,40 @@
 import java.util.List;
 
 /**
- * The prompt parts that an engine said it keeps, those of some size. Immutable.
+ * The prompt parts in the KV cache of one engine, without parts below a minimum size. Immutable.
  *
- * @param engineId the engine
- * @param ageMillis how long ago it was asked
- * @param leastTokens parts of fewer tokens are left out
- * @param parts the parts
+ * @param engineId id of the engine
+ * @param ageMillis time in ms since the engine was asked
+ * @param leastTokens minimum size in tokens; smaller parts are left out
+ * @param parts the cached parts
  */
 public record CacheListing(
     String engineId, long ageMillis, int leastTokens, List<PromptPart> parts) {
 
-  /** Smaller parts are read in less time than a copy is worth. */
+  /**
+   * Minimum size of a part in tokens: an engine reads a smaller part in less time than a copy from
+   * another engine is worth.
+   */
   private static final int LEAST_TOKENS = 500;
 
-  /** Longest listing that is told on, some 10 KB; a longer one is cut to its largest parts. */
+  /**
+   * Maximum number of parts in a listing that is passed on to other nodes, which makes some 10 KB.
+   * A longer listing is cut to its largest parts.
+   */
   private static final int MAX_PARTS = 600;
 
-  /** A private copy of the parts. */
+  /** Copies the parts. */
   public CacheListing {
     parts = List.copyOf(parts);
   }
 
-  /** The larger of the parts that an engine keeps. */
+  /**
+   * Returns a listing of the larger parts that an engine has cached.
+   *
+   * @param engineId id of the engine
+   * @param ageMillis time in ms since the engine was asked
+   * @param kept all parts that the engine has cached
+   */
   public static CacheListing of(String engineId, long ageMillis, List<PromptPart> kept) {
     List<PromptPart> largest =
         kept.stream()
@@ -40,7 +52,7 @@
     return new CacheListing(engineId, ageMillis, least, cut);
   }
 
-  /** The same listing at another age. */
+  /** Returns the same listing with another age. */
   public CacheListing aged(long newAgeMillis) {
     return new CacheListing(engineId, newAgeMillis, leastTokens, parts);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheSource.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheSource.java
@@ -3,9 +3,9 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * A prefilled KV cache that waits at the engine that read the prompt.
+ * The KV cache of a prompt that one engine has read (prefilled) and that another engine can fetch.
  *
- * @param engine where it waits
- * @param handle the engine's name of it; it can be fetched once
+ * @param engine the engine that holds the cache
+ * @param handle the engine's name for the cache, which can be fetched once
  */
 public record CacheSource(ServingEngine engine, String handle) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ChangingEngines.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ChangingEngines.java
@@ -6,9 +6,9 @@
 import org.fallturn.core.routing.EngineStage;
 
 /**
- * Engines that this node has ordered, or is about to order, to take another stage. They get no
- * requests until the directory shows the new stage, or until the change must be over. One thread
- * calls.
+ * The engines that this node has ordered, or is about to order, to change to another stage. They
+ * get no requests until the directory shows the new stage or the time for the change is over.
+ * Confined to one thread.
  */
 final class ChangingEngines {
 
@@ -16,17 +16,24 @@
 
   private record Change(EngineStage stage, long untilNanos) {}
 
-  /** The engine is about to change. */
+  /**
+   * Records that an engine is about to change.
+   *
+   * @param untilNanos time at which the change counts as over, whatever the directory shows
+   */
   void begin(String engineId, EngineStage stage, long untilNanos) {
     changes.put(engineId, new Change(stage, untilNanos));
   }
 
-  /** The engine does not change after all. */
+  /** Records that an engine does not change after all. */
   void end(String engineId) {
     changes.remove(engineId);
   }
 
-  /** Ends what the directory shows as done, what is gone and what took too long. */
+  /**
+   * Removes the changes that the directory shows as done, those of engines that are no longer
+   * listed, and those whose time is over.
+   */
   void prune(EngineDirectory directory, long nowNanos) {
     changes
         .entrySet()
@@ -39,7 +46,9 @@
                         .isEmpty());
   }
 
-  /** The stage that an engine changes to; {@link EngineStage#NONE} when it does not change. */
+  /**
+   * Returns the stage that an engine changes to, or {@link EngineStage#NONE} if it does not change.
+   */
   EngineStage stageOf(String engineId) {
     Change change = changes.get(engineId);
     return change == null ? EngineStage.NONE : change.stage();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineDigest.java
@@ -5,19 +5,23 @@
 import org.fallturn.core.pace.PaceWord;
 
 /**
- * What one node, or a group of nodes together, has at one engine. Immutable.
+ * The load that one node, or a group of nodes together, has at one engine, and what they know of
+ * the engine. Nodes exchange it. Immutable.
  *
- * @param running requests
- * @param streams long answers among them that have begun
- * @param waitingTokens prompt tokens that are not read yet, by the level of urgency of their
- *     requests; zeros at the end are left out
- * @param suspecting nodes that have suspended it
- * @param changing nodes that have ordered it, or are about to order it, to take another stage
- * @param heardAgoMillis time in ms since any of them had a sign of life from it; {@link #NOT_HEARD}
- *     when none had
- * @param leaving nodes that know that it leaves, where its entry does not say so
- * @param limit what they know of a limit that it names, and their parts of it
- * @param pace what their work there lately says of its pace, where it is not as usual
+ * @param running number of requests that the nodes have at the engine
+ * @param streams number of long answers among them that have begun
+ * @param waitingTokens prompt tokens that the engine has not read yet, by the urgency level of
+ *     their requests; zeros at the end are left out
+ * @param suspecting number of nodes that have suspended the engine
+ * @param changing number of nodes that have ordered it, or are about to order it, to change to
+ *     another stage
+ * @param heardAgoMillis time in ms since any of the nodes received a sign of life from it; {@link
+ *     #NOT_HEARD} if none has
+ * @param leaving number of nodes that know that it is leaving although its directory entry does not
+ *     say so
+ * @param limit what the nodes know of a rate limit that the engine announces, and their shares of
+ *     it
+ * @param pace how much faster or slower than usual the nodes' recent work there was, if it differed
  */
 public record EngineDigest(
     int running,
@@ -30,10 +34,13 @@
     LimitDigest limit,
     PaceWord pace) {
 
-  /** Nobody had a sign of life from the engine. */
+  /** Value of {@link #heardAgoMillis} if no node has received a sign of life from the engine. */
   public static final int NOT_HEARD = -1;
 
-  /** What is said of an engine that says nothing of itself. */
+  /**
+   * Creates the digest of an engine that is not known to be leaving, announces no limit and works
+   * at its usual pace.
+   */
   public EngineDigest(
       int running,
       int streams,
@@ -53,20 +60,28 @@
         PaceWord.NONE);
   }
 
-  /** The same, said by so many nodes that know that it leaves. */
+  /** Returns the same digest with the number of nodes that know that the engine is leaving. */
   public EngineDigest withLeaving(int nodes) {
     return new EngineDigest(
         running, streams, waitingTokens, suspecting, changing, heardAgoMillis, nodes, limit, pace);
   }
 
-  /** The same, with what is known of its limit. */
-  public EngineDigest withLimit(LimitDigest told) {
+  /** Returns the same digest with what is known of the engine's limit. */
+  public EngineDigest withLimit(LimitDigest newLimit) {
     return new EngineDigest(
-        running, streams, waitingTokens, suspecting, changing, heardAgoMillis, leaving, told, pace);
+        running,
+        streams,
+        waitingTokens,
+        suspecting,
+        changing,
+        heardAgoMillis,
+        leaving,
+        newLimit,
+        pace);
   }
 
-  /** The same, with what is told of its pace. */
-  public EngineDigest withPace(PaceWord told) {
+  /** Returns the same digest with the pace of recent work. */
+  public EngineDigest withPace(PaceWord newPace) {
     return new EngineDigest(
         running,
         streams,
@@ -76,10 +91,10 @@
         heardAgoMillis,
         leaving,
         limit,
-        told);
+        newPace);
   }
 
-  /** A private copy of the list. */
+  /** Copies the list. */
   public EngineDigest {
     waitingTokens = List.copyOf(waitingTokens);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineHealth.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineHealth.java
@@ -3,21 +3,27 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What outcomes say of one engine. Failures in a row, or silence while requests wait there, suspend
- * it for a growing time, after which one request at a time tries it again; a sign of life to
- * another node ends a suspension for silence; an answer by another engine in its place suspends it
- * for the longest time at once; a share of failed answers makes it less attractive without
- * suspending it. One thread calls.
+ * Health of one engine as this node sees it from the outcomes of its attempts (a circuit breaker).
+ *
+ * <p>Failures in a row, or silence while requests wait at the engine, suspend it. Each further
+ * suspension is longer, up to a maximum. After a suspension one request at a time probes the
+ * engine. A sign of life that another node receives ends a suspension for silence. If another
+ * engine answers in the engine's place, the engine is suspended for the longest time at once. A
+ * share of failed attempts makes an engine less attractive without suspending it. Confined to one
+ * thread.
  */
 final class EngineHealth {
 
   private static final int FAILURES_TO_SUSPEND = 2;
   private static final long FIRST_SUSPENSION_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
   private static final long MAX_SUSPENSION_NANOS = TimeUnit.SECONDS.toNanos(4);
-  private static final double SMOOTHING = 0.15;
+  private static final double FAILURE_SHARE_WEIGHT = 0.15;
 
-  /** The longest suspension: an engine that failed until then is tried again. */
-  private static final double SHARE_HALF_LIFE_NANOS = MAX_SUSPENSION_NANOS;
+  /**
+   * Half-life of the failure share. It equals the longest suspension, after which an engine that
+   * failed until then is tried again.
+   */
+  private static final double FAILURE_SHARE_HALF_LIFE_NANOS = MAX_SUSPENSION_NANOS;
 
   private int failuresInRow;
   private long suspendedAtNanos;
@@ -26,23 +32,23 @@
   private boolean suspended;
   private boolean probing;
   private double failureShare;
-  private long shareAtNanos;
+  private long failureShareAtNanos;
   private boolean silent;
-  private boolean told;
+  private boolean reportedSuspended;
 
-  /** Whether it was suspended or taken back since the last call. */
+  /** Returns whether the engine was suspended or resumed since the last call. */
   boolean takeChange() {
-    boolean changed = told != suspended;
-    told = suspended;
+    boolean changed = reportedSuspended != suspended;
+    reportedSuspended = suspended;
     return changed;
   }
 
-  /** Whether silence led to the last suspension. */
+  /** Returns whether the last suspension was for silence. */
   boolean silent() {
     return silent;
   }
 
-  /** Whether a request may go there now. */
+  /** Returns whether a request may be sent to the engine now. */
   boolean usable(long nowNanos) {
     if (!suspended) {
       return true;
@@ -51,34 +57,41 @@
   }
 
   /**
-   * Whether other nodes had better not send anything there: while it is suspended, or tried again.
-   * Not once it may be tried, since nodes that hold each other off would never use it again.
+   * Returns whether other nodes should send nothing to the engine: while it is suspended, and while
+   * a request probes it. It is false once the engine may be probed, since nodes that warn each
+   * other would otherwise never use it again.
    */
   boolean warnsOthers(long nowNanos) {
     return suspended && (probing || nowNanos - suspendedUntilNanos < 0);
   }
 
-  /** Another node had a sign of life, which ends a suspension for silence that began before. */
+  /**
+   * Ends a suspension for silence if another node has received a sign of life after it began.
+   *
+   * @param heardNanos time at which the other node received it
+   */
   void onPeerSignOfLife(long heardNanos) {
     if (suspended && silent && heardNanos - suspendedAtNanos > 0) {
       onSignOfLife();
     }
   }
 
-  /** Whether it is suspended, or tried again after a suspension. */
+  /** Returns whether the engine is suspended, or is being probed after a suspension. */
   boolean suspended() {
     return suspended;
   }
 
   /**
-   * Recent share of attempts that failed, 0 to 1. It fades while nothing is sent there: what makes
-   * an engine less attractive would else never be found to have ended.
+   * Returns the recent share of attempts that failed, 0 to 1, as an exponentially weighted moving
+   * average. It decays while nothing is sent to the engine: otherwise a fault that makes an engine
+   * less attractive would never be found to have ended.
    */
   double failureShare(long nowNanos) {
     if (failureShare == 0) {
       return 0;
     }
-    return failureShare * Math.pow(0.5, (nowNanos - shareAtNanos) / SHARE_HALF_LIFE_NANOS);
+    return failureShare
+        * Math.pow(0.5, (nowNanos - failureShareAtNanos) / FAILURE_SHARE_HALF_LIFE_NANOS);
   }
 
   void onSent() {
@@ -89,16 +102,16 @@
 
   void onSuccess(long nowNanos) {
     onSignOfLife();
-    countAttempt(0, nowNanos);
+    updateFailureShare(0, nowNanos);
   }
 
-  private void countAttempt(double failed, long nowNanos) {
+  private void updateFailureShare(double failed, long nowNanos) {
     double before = failureShare(nowNanos);
-    failureShare = before + SMOOTHING * (failed - before);
-    shareAtNanos = nowNanos;
+    failureShare = before + FAILURE_SHARE_WEIGHT * (failed - before);
+    failureShareAtNanos = nowNanos;
   }
 
-  /** Any byte of an answer. */
+  /** Ends a suspension because some bytes of an answer arrived. */
   void onSignOfLife() {
     failuresInRow = 0;
     suspended = false;
@@ -111,9 +124,9 @@
       onAbandoned();
       return;
     }
-    boolean tried = probing;
+    boolean probed = probing;
     probing = false;
-    countAttempt(1, nowNanos);
+    updateFailureShare(1, nowNanos);
     if (outcome == AttemptOutcome.MISDIRECTED) {
       silent = false;
       suspensionNanos = MAX_SUSPENSION_NANOS;
@@ -124,13 +137,16 @@
       return;
     }
     failuresInRow++;
-    if (suspended ? tried : failuresInRow >= FAILURES_TO_SUSPEND) {
+    if (suspended ? probed : failuresInRow >= FAILURES_TO_SUSPEND) {
       silent = outcome == AttemptOutcome.SILENT;
       suspend(nowNanos);
     }
   }
 
-  /** Requests wait there and nothing has come for longer than they should take. */
+  /**
+   * Suspends the engine because requests wait there and nothing has come for longer than they
+   * should take.
+   */
   void onSilence(long nowNanos) {
     if (!suspended) {
       silent = true;
@@ -138,13 +154,13 @@
     }
   }
 
-  /** Forgets everything, as for an engine that was never used. */
+  /** Resets the engine to one that was never used. */
   void reset() {
     onSignOfLife();
     failureShare = 0;
   }
 
-  /** The attempt ended for a reason that says nothing about the engine. */
+  /** Records that an attempt ended for a reason that says nothing about the engine. */
   void onAbandoned() {
     probing = false;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
@@ -19,22 +19,23 @@
 import org.fallturn.core.membership.RendezvousHash;
 
 /**
- * How many requests a second engines take from all nodes together, as they name it in their
- * answers, and what of it this node may send. Kept by the id of one start of an engine, so that a
- * later start begins without.
+ * Rate limits in requests per second that engines announce in their answers, and this node's share
+ * of each. A limit holds for all nodes together. Limits are kept by engine incarnation, so that a
+ * restarted engine begins without one.
  *
- * <p>Invariant: a request of a caller is sent to an engine that names a limit only with a permit,
- * taken when its sending begins; calls of this node's own need none, and take room in the window
- * only. Thread-safe: answers are read and sends begin on client threads, decisions are made on the
- * dispatch thread.
+ * <p>Invariant: the request of a caller is sent to an engine that announces a limit only with a
+ * permit, which is taken when the sending begins. Calls that this node makes itself need no permit
+ * and only take room in the window of sent requests.
+ *
+ * <p>Thread-safe: client threads read answers and begin to send, and the dispatch thread decides.
  */
 public final class EngineLimits {
 
   private final String node;
   private final Map<String, Limited> engines = new ConcurrentHashMap<>();
-  private final Queue<LimitChange> found = new ConcurrentLinkedQueue<>();
+  private final Queue<LimitChange> pending = new ConcurrentLinkedQueue<>();
 
-  /** The limit of one engine; whoever uses it holds its lock. */
+  /** The limit of one engine. Its own lock guards all access. */
   private static final class Limited {
     private final NamedLimit limit = new NamedLimit();
     private SharedRate rate;
@@ -45,24 +46,34 @@
   }
 
   /**
-   * No limit is known.
+   * Creates an instance that knows no limit.
    *
-   * @param node name of this node, by which its part differs in time from that of the others
+   * @param node name of this node; it seeds the random numbers that keep nodes from sending at the
+   *     same time
    */
   EngineLimits(String node) {
     this.node = node;
   }
 
-  /** An answer to a request that was sent at a moment names a limit. */
+  /**
+   * Records that an answer announces a limit.
+   *
+   * @param perSecond the limit in requests per second, for all nodes together
+   * @param sentNanos time at which the request was sent
+   */
   public void onNamed(String engineId, double perSecond, long sentNanos, long nowNanos) {
     Limited engine = engines.computeIfAbsent(engineId, id -> new Limited());
     synchronized (engine) {
       boolean changed = engine.limit.onNamed(perSecond, sentNanos, nowNanos);
-      takeChange(engineId, engine, changed, NoticeSource.ANSWER);
+      recordChange(engineId, engine, changed, NoticeSource.ANSWER);
     }
   }
 
-  /** A good and whole answer to a request that was sent at a moment names none. */
+  /**
+   * Records that a complete and successful answer announces no limit.
+   *
+   * @param sentNanos time at which the request was sent
+   */
   public void onNoneNamed(String engineId, long sentNanos) {
     Limited engine = engines.get(engineId);
     if (engine == null) {
@@ -70,11 +81,11 @@
     }
     synchronized (engine) {
       boolean changed = engine.limit.onNoneNamed(sentNanos);
-      takeChange(engineId, engine, changed, NoticeSource.ANSWER);
+      recordChange(engineId, engine, changed, NoticeSource.ANSWER);
     }
   }
 
-  /** Other nodes tell what they know. */
+  /** Takes what another node reports about the limit of an engine. */
   void onPeerReport(String engineId, LimitWord word, long nowNanos) {
     if (!word.named() && !engines.containsKey(engineId)) {
       return;
@@ -82,11 +93,11 @@
     Limited engine = engines.computeIfAbsent(engineId, id -> new Limited());
     synchronized (engine) {
       boolean changed = engine.limit.onPeerReport(word, nowNanos);
-      takeChange(engineId, engine, changed, NoticeSource.PEER);
+      recordChange(engineId, engine, changed, NoticeSource.PEER);
     }
   }
 
-  private void takeChange(String engineId, Limited engine, boolean changed, NoticeSource source) {
+  private void recordChange(String engineId, Limited engine, boolean changed, NoticeSource source) {
     if (!changed) {
       return;
     }
@@ -94,36 +105,39 @@
       engine.rate = new SharedRate(new SplittableRandom(RendezvousHash.weight(engineId, node)));
     }
     engine.limit.perSecond().ifPresent(engine.rate::setPerSecond);
-    found.add(new LimitChange(engineId, engine.limit.perSecond(), source));
+    pending.add(new LimitChange(engineId, engine.limit.perSecond(), source));
   }
 
-  /** What changed since the last call. */
+  /** Removes and returns the changes since the last call. */
   List<LimitChange> takePending() {
     List<LimitChange> taken = new ArrayList<>();
-    for (LimitChange next = found.poll(); next != null; next = found.poll()) {
+    for (LimitChange next = pending.poll(); next != null; next = pending.poll()) {
       taken.add(next);
     }
     return taken;
   }
 
-  /** Engines that have named a limit, also one that has ended. */
+  /** Returns the ids of the engines that have announced a limit, including one that has ended. */
   Set<String> known() {
     return Set.copyOf(engines.keySet());
   }
 
-  /** Whether an engine has named a limit that is in force. */
+  /** Returns whether a limit of the engine is in force. */
   public boolean limited(String engineId) {
     return inForce(engineId, engine -> true, false);
   }
 
-  /** What engines whose limits are in force take a second together. */
+  /** Returns the sum of all limits in force, in requests per second. */
   public double perSecond() {
     return engines.keySet().stream()
         .mapToDouble(id -> inForce(id, engine -> engine.limit.perSecond().getAsDouble(), 0.0))
         .sum();
   }
 
-  /** What this node has sent to engines whose limits are in force, within their window. */
+  /**
+   * Returns how many requests this node has sent within the window to engines whose limits are in
+   * force.
+   */
   public int sent(long nowNanos) {
     return engines.keySet().stream()
         .mapToInt(id -> inForce(id, engine -> engine.rate.sent(nowNanos), 0))
@@ -131,24 +145,24 @@
   }
 
   /**
-   * Takes what the other nodes tell of their parts.
+   * Takes the shares that the other nodes report.
    *
-   * @param others their sum, by engine
-   * @param nodes how many there may be, this one included; empty while it is not known
+   * @param others the sum of the other nodes' reports, by engine id
+   * @param nodes number of nodes that there may be, this one included; empty if not known
    */
   void setOthers(Function<String, RateDigest> others, OptionalInt nodes) {
     engines.forEach(
         (id, engine) -> {
-          RateDigest told = others.apply(id);
+          RateDigest reported = others.apply(id);
           synchronized (engine) {
             if (engine.rate != null) {
-              engine.rate.setOthers(told, nodes);
+              engine.rate.setOthers(reported, nodes);
             }
           }
         });
   }
 
-  /** A request might be sent to an engine. */
+  /** Records that a request could be sent to the engine, which counts as demand. */
   void onAsked(String engineId, long nowNanos) {
     inForce(
         engineId,
@@ -159,17 +173,23 @@
         false);
   }
 
-  /** Whether a request may be sent to an engine now, as far as its limit goes. */
+  /** Returns whether the limit of the engine, if any, permits a request now. */
   boolean takesRequests(String engineId, long nowNanos) {
     return inForce(engineId, engine -> engine.rate.mayTake(nowNanos), true);
   }
 
-  /** The sending of a caller's request begins; whether its engine's limit leaves room for it. */
+  /**
+   * Takes a permit for a caller's request whose sending begins now. Returns false if the limit of
+   * the engine leaves no room for it.
+   */
   public boolean tryTake(String engineId, long nowNanos) {
     return inForce(engineId, engine -> engine.rate.tryTake(nowNanos), true);
   }
 
-  /** The sending of a call of this node's own begins: the engine counts it as any other. */
+  /**
+   * Records that this node begins to send a call of its own, which the engine counts like any other
+   * request.
+   */
   public void onSent(String engineId, long nowNanos) {
     inForce(
         engineId,
@@ -180,12 +200,12 @@
         false);
   }
 
-  /** About how long it takes until a request may be sent to an engine. */
+  /** Returns the approximate time until the limit of the engine permits a request. */
   Duration untilNext(String engineId, long nowNanos) {
     return inForce(engineId, engine -> engine.rate.untilNext(nowNanos), Duration.ZERO);
   }
 
-  /** What this node tells the others of an engine. */
+  /** Returns what this node reports to the others about the limit of an engine. */
   LimitDigest digest(String engineId, long nowNanos) {
     Limited engine = engines.get(engineId);
     if (engine == null) {
@@ -197,24 +217,28 @@
     }
   }
 
-  private <T> T inForce(String engineId, Function<Limited, T> question, T otherwise) {
+  private <T> T inForce(String engineId, Function<Limited, T> ifInForce, T otherwise) {
     Limited engine = engines.get(engineId);
     if (engine == null) {
       return otherwise;
     }
     synchronized (engine) {
-      return engine.inForce() ? question.apply(engine) : otherwise;
+      return engine.inForce() ? ifInForce.apply(engine) : otherwise;
     }
   }
 
-  /** Forgets engines that are listed no more, once their entries can't merely have lapsed. */
+  /**
+   * Forgets the engines that are no longer listed, once their directory entries cannot merely have
+   * expired.
+   */
   void retain(Set<String> listed, long nowNanos) {
     engines
         .entrySet()
-        .removeIf(known -> !listed.contains(known.getKey()) && old(known.getValue(), nowNanos));
+        .removeIf(
+            known -> !listed.contains(known.getKey()) && isOutdated(known.getValue(), nowNanos));
   }
 
-  private static boolean old(Limited engine, long nowNanos) {
+  private static boolean isOutdated(Limited engine, long nowNanos) {
     synchronized (engine) {
       return !engine.limit.heardWithin(EngineNotices.KEPT_UNLISTED_NANOS, nowNanos);
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
@@ -7,7 +7,10 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** What this node has at one engine. One thread calls. */
+/**
+ * The requests that this node has at one engine, with its view of the engine's health. Confined to
+ * one thread.
+ */
 final class EngineLoad {
 
   private final EngineHealth health = new EngineHealth();
@@ -17,35 +20,35 @@
   private int streams;
   private long cacheTokens;
   private long heardNanos;
-  private boolean heard;
+  private boolean everHeard;
   private long answeredSentNanos;
-  private boolean answered;
+  private boolean everAnswered;
 
   EngineHealth health() {
     return health;
   }
 
-  /** Requests that this node has there. */
+  /** Returns how many requests this node has at the engine. */
   int running() {
     return present.size();
   }
 
-  /** The request that has been there for longest. */
+  /** Returns the request that has been at the engine for longest. */
   Optional<RequestProgress> oldest() {
     return present.stream().findFirst();
   }
 
-  /** Tokens of KV cache that they hold when they run. */
+  /** Returns the tokens of KV cache that these requests hold when they run. */
   long cacheTokens() {
     return cacheTokens;
   }
 
-  /** Long answers among them that have begun. */
+  /** Returns how many long answers have begun. */
   int streams() {
     return streams;
   }
 
-  /** The answer to a request begins. */
+  /** Records that the answer to a request begins. */
   void onBegan(RequestProgress progress) {
     promptRead(progress);
     if (progress.begin() && progress.longAnswer()) {
@@ -53,12 +56,17 @@
     }
   }
 
-  /** Prompt tokens that this node has sent there to be read and that are not read yet. */
+  /**
+   * Returns the prompt tokens that this node has sent to the engine and that it has not read yet.
+   */
   PromptBacklog backlog() {
     return backlog;
   }
 
-  /** A request goes there; its progress tells the tokens and the urgency it brings. */
+  /**
+   * Adds a request that is sent to the engine. Its progress holds its prompt tokens and its urgency
+   * level.
+   */
   void add(RequestProgress progress) {
     present.add(progress);
     cacheTokens += progress.cacheTokens();
@@ -69,41 +77,53 @@
     health.onSent();
   }
 
-  /** Any part of the answer to a request came. */
+  /** Records a sign of life: some part of the answer to a request arrived. */
   void onSignOfLife(RequestProgress progress, long nowNanos) {
-    heard = true;
+    everHeard = true;
     heardNanos = nowNanos;
     health.onSignOfLife();
     onAnswered(progress);
   }
 
-  /** The engine takes a request: a part of its answer came, or its prompt was read. */
+  /**
+   * Records that the engine has taken a request: a part of its answer arrived, or its prompt was
+   * read.
+   */
   void onAnswered(RequestProgress progress) {
-    if (!answered || progress.sentNanos() - answeredSentNanos > 0) {
+    if (!everAnswered || progress.sentNanos() - answeredSentNanos > 0) {
       answeredSentNanos = progress.sentNanos();
     }
-    answered = true;
+    everAnswered = true;
   }
 
-  /** Whether a request that was sent since is there, and none of them has been answered. */
+  /**
+   * Returns whether a request that was sent at or after a time is at the engine and the engine has
+   * answered no request that was sent since then.
+   */
   boolean awaitsAnswerSince(long nanos) {
-    if (answered && answeredSentNanos - nanos >= 0) {
+    if (everAnswered && answeredSentNanos - nanos >= 0) {
       return false;
     }
     return present.stream().anyMatch(request -> request.sentNanos() - nanos >= 0);
   }
 
-  /** Whether any part of an answer came within a time. */
+  /** Returns whether a sign of life arrived within the last {@code nanos}. */
   boolean heardWithin(long nanos, long nowNanos) {
-    return heard && nowNanos - heardNanos < nanos;
+    return everHeard && nowNanos - heardNanos < nanos;
   }
 
-  /** When any part of an answer came last. */
+  /** Returns when the last sign of life arrived. */
   OptionalLong heardNanos() {
-    return heard ? OptionalLong.of(heardNanos) : OptionalLong.empty();
+    return everHeard ? OptionalLong.of(heardNanos) : OptionalLong.empty();
   }
 
-  /** The last sign of life to this node or another, or the beginning where none came since. */
+  /**
+   * Returns the time of the last sign of life that this node or another one received, or the given
+   * begin if none came since.
+   *
+   * @param beginNanos earliest time to return
+   * @param peersHeardNanos time of the last sign of life that another node received
+   */
   long lastSignOfLifeNanos(long beginNanos, OptionalLong peersHeardNanos) {
     return later(later(beginNanos, heardNanos()), peersHeardNanos);
   }
@@ -112,9 +132,12 @@
     return other.isPresent() && other.getAsLong() - nanos > 0 ? other.getAsLong() : nanos;
   }
 
-  /** The prompt of a request was read, ahead of those sent before that are no less urgent. */
+  /**
+   * Records that the engine has read the prompt of a request. The request has overtaken those that
+   * were sent before it, are at least as urgent and still wait to be read.
+   */
   void promptRead(RequestProgress read) {
-    forgetPrompt(read);
+    removeFromBacklog(read);
     for (RequestProgress other : unread) {
       if (other.sentNanos() - read.sentNanos() < 0 && other.level() <= read.level()) {
         other.overtaken();
@@ -122,7 +145,7 @@
     }
   }
 
-  /** The request is no longer there. */
+  /** Removes a request that is no longer at the engine. */
   void remove(RequestProgress progress) {
     if (present.remove(progress)) {
       cacheTokens -= progress.cacheTokens();
@@ -130,10 +153,10 @@
     if (progress.begun() && progress.longAnswer()) {
       streams--;
     }
-    forgetPrompt(progress);
+    removeFromBacklog(progress);
   }
 
-  private void forgetPrompt(RequestProgress progress) {
+  private void removeFromBacklog(RequestProgress progress) {
     if (unread.remove(progress)) {
       backlog.add(progress.level(), -progress.chargedTokens());
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
@@ -11,20 +11,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What engines have said of themselves: that they leave, until when they want nothing from this
- * node, and how many requests they take from all. Kept by the id of one start of an engine, so that
- * a later start begins with nothing.
+ * What engines announce about themselves in their answers: that they are leaving, until when they
+ * want a rest (no requests from this node), the rate limit that they set for all nodes together,
+ * and their load. Notices are kept by engine incarnation, so that a restarted engine begins without
+ * any.
  *
- * <p>Invariants: an engine that leaves never takes that back, whatever older news come later; a
- * rest lasts until the latest of the times that were said. Thread-safe: answers are read on client
- * threads, before they are passed on, and decisions are made on the dispatch thread.
+ * <p>Invariants: an engine that has announced that it is leaving stays so, whatever older reports
+ * arrive later; a rest lasts until the latest of the announced times.
+ *
+ * <p>Thread-safe: client threads take the notices of an answer before they pass it on, and the
+ * dispatch thread decides.
  */
 public final class EngineNotices {
 
   /**
-   * How long it is remembered that an engine leaves whose entry is gone: entries lapse while the
-   * store is away, for 13 s when it was seen, and may come back. Judged: long enough for any such
-   * time, short enough that what is kept stays small.
+   * How long this node remembers that an engine is leaving after the engine's directory entry is
+   * gone. Entries expire while the store is unreachable (for 13 s in an observed case) and may come
+   * back. The time is an estimate: longer than any such outage, and short enough to keep little.
    */
   static final long KEPT_UNLISTED_NANOS = TimeUnit.MINUTES.toNanos(10);
 
@@ -33,47 +36,49 @@
   private final Map<String, Long> restEnds = new ConcurrentHashMap<>();
   private final EngineLimits limits;
   private final ReportedLoads reportedLoads = new ReportedLoads();
-  private final Queue<LeavingNotice> found = new ConcurrentLinkedQueue<>();
+  private final Queue<LeavingNotice> pending = new ConcurrentLinkedQueue<>();
 
   /**
-   * Nothing has been said yet.
+   * Creates an instance without any notices.
    *
    * @param node name of this node
-   * @param lastResortNanos how long an engine may still be sent requests after it was found to
-   *     leave
+   * @param lastResortNanos how long an engine that is leaving may still be sent requests, in ns
    */
   EngineNotices(String node, long lastResortNanos) {
     this.limits = new EngineLimits(node);
     this.lastResortNanos = lastResortNanos;
   }
 
-  /** How many requests engines take, as they say it. */
+  /** Returns the rate limits that engines announce. */
   public EngineLimits limits() {
     return limits;
   }
 
-  /** What engines say of their load. */
+  /** Returns the load that engines report. */
   public ReportedLoads reportedLoads() {
     return reportedLoads;
   }
 
-  /** An engine is found to leave; nothing changes where that is known. */
+  /** Records that an engine is leaving. Does nothing if that is known already. */
   public void onLeaving(String engineId, NoticeSource source, long nowNanos) {
     if (leavingSince.putIfAbsent(engineId, nowNanos) == null) {
-      found.add(new LeavingNotice(engineId, source));
+      pending.add(new LeavingNotice(engineId, source));
     }
   }
 
-  /** Engines that were found to leave since the last call. */
+  /** Removes and returns the notices of leaving engines since the last call. */
   List<LeavingNotice> takePending() {
     List<LeavingNotice> taken = new ArrayList<>();
-    for (LeavingNotice next = found.poll(); next != null; next = found.poll()) {
+    for (LeavingNotice next = pending.poll(); next != null; next = pending.poll()) {
       taken.add(next);
     }
     return taken;
   }
 
-  /** An engine wants nothing from this node for a time; whether it is longer than what was said. */
+  /**
+   * Records that an engine wants no requests from this node for a time. Returns whether that
+   * prolongs its rest.
+   */
   public boolean onRest(String engineId, long restNanos, long nowNanos) {
     long end = nowNanos + restNanos;
     Long before = restEnds.get(engineId);
@@ -81,34 +86,38 @@
     return restNanos > 0 && (before == null || end - before > 0);
   }
 
-  /** Whether an engine has said that it leaves. */
+  /** Returns whether an engine is leaving. */
   public boolean leaves(String engineId) {
     return leavingSince.containsKey(engineId);
   }
 
   /**
-   * Whether a request may be sent to an engine. Asked when its sending begins, since it may have
-   * been decided and have waited for a connection before the engine said anything.
+   * Returns whether a request may be sent to an engine. Callers ask again when the sending begins:
+   * the engine may have sent a notice after the decision, while the request waited for a
+   * connection.
    */
   public boolean takesRequests(String engineId, long nowNanos) {
     Long since = leavingSince.get(engineId);
-    boolean gone = since != null && nowNanos - since >= lastResortNanos;
-    return !gone && !rests(engineId, nowNanos);
+    boolean pastLastResort = since != null && nowNanos - since >= lastResortNanos;
+    return !pastLastResort && !rests(engineId, nowNanos);
   }
 
-  /** Whether an engine wants nothing from this node now. */
+  /** Returns whether an engine wants no requests from this node now. */
   public boolean rests(String engineId, long nowNanos) {
     Long end = restEnds.get(engineId);
     return end != null && nowNanos - end < 0;
   }
 
-  /** When the last rest of an engine ends, or has ended. */
+  /** Returns when the last rest of an engine ends or ended. */
   OptionalLong restEnd(String engineId) {
     Long end = restEnds.get(engineId);
     return end == null ? OptionalLong.empty() : OptionalLong.of(end);
   }
 
-  /** Forgets engines that are listed no more, once their entries can't merely have lapsed. */
+  /**
+   * Forgets the engines that are no longer listed, once their directory entries cannot merely have
+   * expired.
+   */
   void retain(Set<String> listed, long nowNanos) {
     limits.retain(listed, nowNanos);
     leavingSince
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
@@ -10,13 +10,14 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * What this node hears from the others of engines and prompts, and what it tells them. Sums of what
- * they have at each engine are with {@link PeerLoads}. Only the dispatch thread calls.
+ * Exchanges knowledge of engines and prompts with the other nodes: takes what they report and
+ * provides what this node reports to them. The sums of their load at each engine are in {@link
+ * PeerLoads}. Only the dispatch thread calls it.
  */
 public final class FleetView {
 
-  /** Shorter prompts are not worth a message to the other nodes. */
-  private static final int MIN_TOLD_TOKENS = 2_000;
+  /** Minimum length in tokens of a prompt that is worth a message to the other nodes. */
+  private static final int MIN_REPORTED_TOKENS = 2_000;
 
   private static final double NANOS_PER_MILLI = 1e6;
 
@@ -31,9 +32,9 @@
   private OptionalInt nodeCount = OptionalInt.empty();
 
   /**
-   * A view of a node that has heard nobody.
+   * Creates the view of a node that has not heard from any other.
    *
-   * @param cacheTokens how many tokens an engine of a service keeps
+   * @param cacheTokens gives the cache capacity in tokens of an engine of a service
    */
   FleetView(
       EngineSelector selector,
@@ -50,22 +51,25 @@
     this.ownDigests = new LocalDigests(selector, notices, pace);
   }
 
-  /** Takes the engines as their entries tell them. */
+  /** Takes the engines as their directory entries describe them. */
   void setListed(EngineDirectory directory) {
     listed = directory;
   }
 
-  /** Takes the number of nodes that there may be, this one included; empty while not known. */
+  /** Takes the number of nodes that there may be, this one included; empty if not known. */
   void setNodeCount(OptionalInt count) {
     nodeCount = count;
   }
 
-  /** Takes what another node says of engines, of prompts that were placed, and of speeds. */
+  /**
+   * Takes what another node reports of engines, of prompts that it has placed, and of the speeds of
+   * engines.
+   */
   public void onPeerReport(LoadDigest digest, long nowNanos) {
     digest.prompts().forEach(prompt -> record(prompt, nowNanos));
     digest.speeds().forEach((service, learned) -> speeds.of(service).onPeerReport(learned));
     digest.engines().forEach((id, engine) -> onPeerReport(id, engine, nowNanos));
-    shareLimits(nowNanos);
+    updatePeerLimits(nowNanos);
   }
 
   private void onPeerReport(String engineId, EngineDigest engine, long nowNanos) {
@@ -75,7 +79,7 @@
     notices.limits().onPeerReport(engineId, engine.limit().word(), nowNanos);
   }
 
-  private void shareLimits(long nowNanos) {
+  private void updatePeerLimits(long nowNanos) {
     notices.limits().setOthers(id -> peerLoads.limit(id, nowNanos).rate(), nodeCount);
   }
 
@@ -89,24 +93,29 @@
         .record(prompt.engineId(), cacheTokens.applyAsLong(service), prompt.parts(), readyAt);
   }
 
-  /** This node places a prompt; the others are told of long ones. */
+  /**
+   * Records that this node sends a prompt to an engine. Long prompts are reported to the other
+   * nodes.
+   *
+   * @param millis time in ms until the engine is expected to have read the prompt
+   */
   void onPlaced(ServingEngine engine, PromptShape prompt, double millis, long nowNanos) {
     long readyAt = nowNanos + (long) (millis * NANOS_PER_MILLI);
     selector
         .cachedParts()
         .record(engine.id(), cacheTokens.applyAsLong(engine.service()), prompt.parts(), readyAt);
     selector.sizes(engine.service()).onPrompt(prompt.promptTokens(), nowNanos);
-    if (prompt.promptTokens() >= MIN_TOLD_TOKENS) {
+    if (prompt.promptTokens() >= MIN_REPORTED_TOKENS) {
       newPrompts.add(new PlacedPrompt(engine.id(), (int) millis, prompt.parts()));
     }
   }
 
-  /** Whether prompts were placed since they were last taken. */
+  /** Returns whether prompts were placed since they were last taken. */
   public boolean hasNewPrompts() {
     return !newPrompts.isEmpty();
   }
 
-  /** Prompts placed since the last call. */
+  /** Removes and returns the prompts placed since the last call. */
   public List<PlacedPrompt> takeNewPrompts() {
     List<PlacedPrompt> taken = List.copyOf(newPrompts);
     newPrompts.clear();
@@ -114,15 +123,15 @@
   }
 
   /**
-   * Takes what an engine says that it keeps.
+   * Takes the engine's own listing of the parts that it has cached.
    *
-   * @param askedAtNanos when it was asked
+   * @param askedAtNanos time at which the engine was asked
    */
   public void onEngineCacheListing(PlacedPrompt kept, long askedAtNanos) {
     selector.cachedParts().replace(kept.engineId(), kept.parts(), 0, askedAtNanos);
   }
 
-  /** Takes what an engine told another node that it keeps. */
+  /** Takes a listing that an engine gave to another node. */
   public void onPeerCacheListing(CacheListing listing, long nowNanos) {
     long askedAt = nowNanos - TimeUnit.MILLISECONDS.toNanos(listing.ageMillis());
     selector
@@ -130,18 +139,21 @@
         .replace(listing.engineId(), listing.parts(), listing.leastTokens(), askedAt);
   }
 
-  /** What is believed of what each engine keeps, for a node that knows nothing yet. */
+  /** Returns what each engine is estimated to have cached, for a node that has just started. */
   public List<CacheListing> cacheListings(long nowNanos) {
     return selector.cachedParts().listings(nowNanos);
   }
 
-  /** What this node has at each engine, for the other nodes. */
+  /** Returns the load that this node has at each engine, for the other nodes. */
   public Map<String, EngineDigest> ownLoads(long nowNanos) {
-    shareLimits(nowNanos);
+    updatePeerLimits(nowNanos);
     return ownDigests.all(listed, nowNanos);
   }
 
-  /** How fast engines read, by service, as far as this node has learned it itself. */
+  /**
+   * Returns how fast engines read prompts, by service, as far as this node has learned it from its
+   * own requests.
+   */
   public Map<String, LearnedSpeed> ownSpeeds() {
     return speeds.learned();
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/HealthChange.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/HealthChange.java
@@ -1,13 +1,13 @@
 package org.fallturn.core.dispatch;
 
 /**
- * This node began or ceased to avoid an engine.
+ * This node has suspended or resumed an engine.
  *
- * @param engineId the engine
- * @param suspended whether it is avoided now
- * @param silent whether silence, and not failures in a row, led to it
- * @param failureShare recent share of its attempts that failed, 0 to 1
- * @param running requests that this node has there
+ * @param engineId id of the engine
+ * @param suspended whether the engine is suspended now
+ * @param silent whether silence, and not failures in a row, led to the suspension
+ * @param failureShare recent share of the attempts at the engine that failed, 0 to 1
+ * @param running number of requests that this node has at the engine
  */
 public record HealthChange(
     String engineId, boolean suspended, boolean silent, double failureShare, int running) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LearnedSpeed.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LearnedSpeed.java
@@ -1,8 +1,9 @@
 package org.fallturn.core.dispatch;
 
 /**
- * How fast the prefill engines of a service read, as one node learned it, for nodes that have not.
+ * How fast the prefill engines of a service read prompts, as one node has learned it. Nodes that
+ * have not learned it yet take it over.
  *
- * @param tokenMillis time that a token takes, in ms
+ * @param tokenMillis time in ms that an engine takes to read a token
  */
 public record LearnedSpeed(double tokenMillis) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LeavingNotice.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LeavingNotice.java
@@ -1,9 +1,9 @@
 package org.fallturn.core.dispatch;
 
 /**
- * An engine was found to leave.
+ * This node has learned that an engine is leaving.
  *
- * @param engineId the start of an engine
- * @param source how it was learned
+ * @param engineId id of the engine's incarnation
+ * @param source how this node learned it
  */
 public record LeavingNotice(String engineId, NoticeSource source) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LimitChange.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LimitChange.java
@@ -3,10 +3,11 @@
 import java.util.OptionalDouble;
 
 /**
- * The limit of an engine is named, changed or ended.
+ * The rate limit that an engine announces has begun, changed or ended.
  *
- * @param engineId the start of an engine
- * @param perSecond requests a second that it takes from all nodes together; empty when it takes any
- * @param source how it was learned
+ * @param engineId id of the engine's incarnation
+ * @param perSecond requests per second that the engine takes from all nodes together; empty if
+ *     there is no limit any more
+ * @param source how this node learned it
  */
 public record LimitChange(String engineId, OptionalDouble perSecond, NoticeSource source) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LoadDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LoadDigest.java
@@ -5,18 +5,19 @@
 import org.fallturn.core.limits.BudgetDigest;
 
 /**
- * The load of a node, or of a group of nodes that it speaks for, told to other nodes. Immutable.
+ * The load of one node, or of a group of nodes for which it speaks, as reported to other nodes.
+ * Immutable.
  *
- * @param node name of the node that speaks
- * @param incarnation rises with each start of the node's process
- * @param sequence rises with each digest of a process
- * @param nodes how many nodes it speaks for
- * @param firstNode the first of the names of those that may order changes of stage; empty when none
- *     may
- * @param engines what it has where, by engine id; engines it has nothing at are left out
- * @param prompts prompts it placed since the digest before
- * @param speeds how fast engines read, by service, as far as it has learned it
- * @param budgets parts of retry budgets, by service; those that nobody wants are left out
+ * @param node name of the reporting node
+ * @param incarnation increases with each start of the node's process
+ * @param sequence increases with each digest of a process
+ * @param nodes number of nodes for which it speaks
+ * @param firstNode the first, in alphabetical order, of the names of those nodes that may order
+ *     changes of stage; empty if none may
+ * @param engines the load at each engine, by engine id; engines without any load are left out
+ * @param prompts prompts placed since the last digest
+ * @param speeds how fast engines read prompts, by service, as far as the node has learned it
+ * @param budgets shares of retry budgets, by service; budgets that no node needs are left out
  */
 public record LoadDigest(
     String node,
@@ -29,7 +30,7 @@
     Map<String, LearnedSpeed> speeds,
     Map<String, BudgetDigest> budgets) {
 
-  /** Private copies. */
+  /** Copies the collections. */
   public LoadDigest {
     engines = Map.copyOf(engines);
     prompts = List.copyOf(prompts);
@@ -37,7 +38,7 @@
     budgets = Map.copyOf(budgets);
   }
 
-  /** What is said where no retry budget is wanted. */
+  /** Creates a digest without retry budgets. */
   public LoadDigest(
       String node,
       long incarnation,
@@ -50,7 +51,7 @@
     this(node, incarnation, sequence, nodes, firstNode, engines, prompts, speeds, Map.of());
   }
 
-  /** What a node says that speaks only for itself. */
+  /** Creates the digest of a node that speaks only for itself. */
   public LoadDigest(
       String node,
       long incarnation,
@@ -61,7 +62,10 @@
     this(node, incarnation, sequence, 1, node, engines, prompts, speeds);
   }
 
-  /** The same speaker and news with the load of another group. */
+  /**
+   * Returns the digest of the same node with the load of a group, and with its own prompts and
+   * speeds.
+   */
   LoadDigest withGroup(
       int newNodes,
       String newFirst,
@@ -71,13 +75,16 @@
         node, incarnation, sequence, newNodes, newFirst, newEngines, prompts, speeds, newBudgets);
   }
 
-  /** The same with parts of retry budgets. */
+  /** Returns the same digest with other shares of retry budgets. */
   public LoadDigest withBudgets(Map<String, BudgetDigest> newBudgets) {
     return new LoadDigest(
         node, incarnation, sequence, nodes, firstNode, engines, prompts, speeds, newBudgets);
   }
 
-  /** Whether this was said after the other, by a later process or later in the same one. */
+  /**
+   * Returns whether this digest is newer than the other one: from a later process of the node, or
+   * later in the same process.
+   */
   public boolean isNewerThan(LoadDigest other) {
     return incarnation != other.incarnation
         ? incarnation > other.incarnation
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -7,13 +7,16 @@
 import org.fallturn.core.routing.EngineDirectory;
 
 /**
- * What this node tells the others of each engine: what it has there, and what it knows of the
- * engine that they may not know yet. One thread calls.
+ * Builds the digests that this node reports to the others: per engine, the load that this node has
+ * there, and what it knows of the engine that the others may not know yet. Confined to one thread.
  */
 final class LocalDigests {
 
-  /** Of a sign of life, others are told this long: two turns of 100 ms, as one may be lost. */
-  private static final long TOLD_SIGN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  /**
+   * How long a sign of life is reported to the others: two reporting intervals of 100 ms, as one
+   * report may be lost.
+   */
+  private static final long REPORTED_SIGN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
   private final EngineSelector selector;
   private final EngineNotices notices;
@@ -26,9 +29,9 @@
   }
 
   /**
-   * The digests by engine; engines of which there is nothing to say are left out.
+   * Returns the digests by engine id. Engines of which there is nothing to report are left out.
    *
-   * @param listed the engines as their entries tell them
+   * @param listed the engines as their directory entries describe them
    */
   Map<String, EngineDigest> all(EngineDirectory listed, long nowNanos) {
     Map<String, EngineDigest> digests = new HashMap<>();
@@ -59,10 +62,13 @@
         pace.lately(id, nowNanos));
   }
 
-  /** Asked of all engines at each turn, most of which this node does not use just now. */
+  /**
+   * Returns whether there is anything to report of an engine. This is called for all engines at
+   * each reporting interval, and this node does not use most of them at the time.
+   */
   private boolean hasNews(String id, EngineLoad load, EngineDirectory listed, long nowNanos) {
     return !load.idle()
-        || load.heardWithin(TOLD_SIGN_NANOS, nowNanos)
+        || load.heardWithin(REPORTED_SIGN_NANOS, nowNanos)
         || load.health().warnsOthers(nowNanos)
         || selector.changes(id)
         || leavesUnlisted(id, listed)
@@ -70,7 +76,10 @@
         || !pace.lately(id, nowNanos).saysNothing();
   }
 
-  /** Whether an engine leaves without saying so in its entry: others may not know it yet. */
+  /**
+   * Returns whether an engine is leaving although its directory entry does not say so: other nodes
+   * may not know it yet.
+   */
   private boolean leavesUnlisted(String id, EngineDirectory listed) {
     return notices.leaves(id) && listed.find(id).filter(engine -> !engine.leaving()).isPresent();
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/NoticeSource.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/NoticeSource.java
@@ -1,11 +1,11 @@
 package org.fallturn.core.dispatch;
 
-/** How a node came to know that an engine leaves. */
+/** How a node learned a fact that an engine announces about itself. */
 public enum NoticeSource {
-  /** The engine said so in an answer to this node. */
+  /** The engine announced it in an answer to this node. */
   ANSWER,
-  /** The list of engines says so. */
+  /** The directory of engines contains it. */
   LIST,
-  /** Another node said so. */
+  /** Another node reported it. */
   PEER
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefixCacheEstimates.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefixCacheEstimates.java
@@ -10,41 +10,47 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An estimate of which prompt parts each engine keeps: what was sent there, least recently used
- * parts dropped past the engine's capacity. Keyed by engine incarnation, so that a restarted engine
- * begins empty. One thread calls.
+ * Estimates which prompt parts each engine has in its KV cache: the parts that were sent to it,
+ * without the least recently used ones beyond its capacity. Entries are kept by engine incarnation,
+ * so that a restarted engine begins empty. Confined to one thread.
  */
 final class PrefixCacheEstimates {
 
   private static final float LOAD_FACTOR = 0.75f;
   private static final int INITIAL_CAPACITY = 64;
 
-  /** Part of an engine's memory that is believed to keep parts; the rest holds running requests. */
-  private static final double KEPT_SHARE = 0.9;
+  /**
+   * Share of an engine's cache capacity that is assumed to keep prompt parts; the rest holds the
+   * requests that run.
+   */
+  private static final double CACHE_SHARE = 0.9;
 
-  /** A part read shortly before an engine was asked may be missing in its answer. */
+  /** An engine's listing may lack a part that it read up to this long before it was asked. */
   private static final long LIST_LAG_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  private final Map<String, EngineParts> engines = new HashMap<>();
+  private final Map<String, EngineCache> engines = new HashMap<>();
 
-  /** Tokens at the beginning of the prompt that the engine keeps, or will once it is idle. */
+  /**
+   * Returns how many tokens at the beginning of the prompt the engine has cached, or will have
+   * cached once it has read what was sent to it.
+   */
   int cachedTokens(String engineId, List<PromptPart> parts) {
     return cachedTokens(engineId, parts, Long.MAX_VALUE);
   }
 
-  /** Tokens at the beginning of the prompt that the engine has read by a time. */
+  /** Returns how many tokens at the beginning of the prompt the engine has cached at a time. */
   int readyTokens(String engineId, List<PromptPart> parts, long nowNanos) {
     return cachedTokens(engineId, parts, nowNanos);
   }
 
   private int cachedTokens(String engineId, List<PromptPart> parts, long untilNanos) {
-    EngineParts engine = engines.get(engineId);
+    EngineCache engine = engines.get(engineId);
     if (engine == null) {
       return 0;
     }
     int cached = 0;
     for (PromptPart part : parts) {
-      Kept kept = engine.parts.get(part.id());
+      CachedPart kept = engine.parts.get(part.id());
       if (kept == null || untilNanos != Long.MAX_VALUE && kept.readyAtNanos - untilNanos > 0) {
         return cached;
       }
@@ -57,38 +63,40 @@
   }
 
   /**
-   * The engine reads these parts.
+   * Records that the engine reads these parts.
    *
-   * @param readyAtNanos when it has read those that it did not keep already
+   * @param capacityTokens cache capacity of the engine in tokens
+   * @param readyAtNanos time at which the engine has read the parts that it had not cached before
    */
   void record(String engineId, long capacityTokens, List<PromptPart> parts, long readyAtNanos) {
-    EngineParts engine = engines.computeIfAbsent(engineId, id -> new EngineParts());
+    EngineCache engine = engines.computeIfAbsent(engineId, id -> new EngineCache());
     for (PromptPart part : parts) {
       engine.touch(part, readyAtNanos);
     }
-    engine.trim((long) (KEPT_SHARE * capacityTokens));
+    engine.evictBeyond((long) (CACHE_SHARE * capacityTokens));
   }
 
   /**
-   * The engine said what it keeps, which replaces what was believed but for parts that it may have
-   * read since; those that were not known count as the least recently used.
+   * Replaces the estimate for an engine by the listing that the engine gave. Parts that the engine
+   * may have read after it made the listing stay. Parts that were not known before count as the
+   * least recently used.
    *
-   * @param leastTokens smaller parts were left out
-   * @param askedAtNanos when it was asked
+   * @param leastTokens minimum size in tokens; the listing leaves out smaller parts
+   * @param askedAtNanos time at which the engine was asked
    */
   void replace(String engineId, List<PromptPart> listed, int leastTokens, long askedAtNanos) {
-    EngineParts before = engines.computeIfAbsent(engineId, id -> new EngineParts());
-    EngineParts now = new EngineParts();
-    Map<String, Integer> listedTokens = new HashMap<>();
+    EngineCache before = engines.computeIfAbsent(engineId, id -> new EngineCache());
+    EngineCache now = new EngineCache();
+    Map<String, Integer> tokensById = new HashMap<>();
     for (PromptPart part : listed) {
-      listedTokens.put(part.id(), part.tokens());
+      tokensById.put(part.id(), part.tokens());
       if (!before.parts.containsKey(part.id())) {
         now.touch(part, askedAtNanos);
       }
     }
     before.parts.forEach(
         (id, kept) -> {
-          Integer tokens = listedTokens.get(id);
+          Integer tokens = tokensById.get(id);
           if (tokens != null) {
             now.touch(new PromptPart(id, tokens), kept.readyAtNanos);
           } else if (kept.tokens < leastTokens
@@ -99,7 +107,7 @@
     engines.put(engineId, now);
   }
 
-  /** What is believed of each engine that is known to keep any. */
+  /** Returns the parts that each known engine is estimated to have cached now. */
   List<CacheListing> listings(long nowNanos) {
     List<CacheListing> listings = new ArrayList<>();
     engines.forEach(
@@ -116,52 +124,55 @@
     return listings;
   }
 
-  /** The engine did not read these parts after all; those that it had read before stay. */
+  /**
+   * Forgets those of the parts that the engine has not read yet, because it will not read them.
+   * Parts that it has read stay.
+   */
   void forgetUnread(String engineId, List<PromptPart> parts, long nowNanos) {
-    EngineParts engine = engines.get(engineId);
+    EngineCache engine = engines.get(engineId);
     if (engine != null) {
       parts.forEach(part -> engine.forgetUnread(part.id(), nowNanos));
     }
   }
 
-  /** Nothing is known of what the engine keeps. */
+  /** Forgets all parts of an engine. */
   void forget(String engineId) {
     engines.remove(engineId);
   }
 
-  /** Forgets engines that are no longer listed. */
+  /** Forgets the engines that are not among the given ones. */
   void retain(Set<String> engineIds) {
     engines.keySet().retainAll(engineIds);
   }
 
-  private record Kept(int tokens, long readyAtNanos) {}
+  private record CachedPart(int tokens, long readyAtNanos) {}
 
-  /** Parts of one engine, least recently used first. */
-  private static final class EngineParts {
+  /** The cached parts of one engine, least recently used first. */
+  private static final class EngineCache {
 
-    private final LinkedHashMap<String, Kept> parts =
+    private final LinkedHashMap<String, CachedPart> parts =
         new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
     private long total;
 
     void touch(PromptPart part, long readyAtNanos) {
-      Kept before = parts.get(part.id());
+      CachedPart before = parts.get(part.id());
       int keptTokens = before == null ? 0 : before.tokens;
       if (before == null || keptTokens < part.tokens()) {
-        parts.put(part.id(), new Kept(part.tokens(), readyAtNanos));
+        parts.put(part.id(), new CachedPart(part.tokens(), readyAtNanos));
         total += part.tokens() - keptTokens;
       }
     }
 
     void forgetUnread(String partId, long nowNanos) {
-      Kept kept = parts.get(partId);
+      CachedPart kept = parts.get(partId);
       if (kept != null && kept.readyAtNanos - nowNanos > 0) {
         parts.remove(partId);
         total -= kept.tokens;
       }
     }
 
-    void trim(long capacity) {
-      Iterator<Map.Entry<String, Kept>> oldest = parts.entrySet().iterator();
+    void evictBeyond(long capacity) {
+      Iterator<Map.Entry<String, CachedPart>> oldest = parts.entrySet().iterator();
       while (total > capacity && oldest.hasNext()) {
         total -= oldest.next().getValue().tokens();
         oldest.remove();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ReportedLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ReportedLoads.java
@@ -5,34 +5,36 @@
 import org.fallturn.core.pace.ServerLoad;
 
 /**
- * What engines last said of their load, from the client threads that read their answers to the
- * dispatch thread. Of each engine only the newest word is kept until it is taken. Thread-safe.
+ * Hands the loads that engines report from the client threads, which read the answers, to the
+ * dispatch thread. Only the newest report of each engine is kept until it is taken. Thread-safe.
  */
 public final class ReportedLoads {
 
-  private final Map<String, Said> newest = new ConcurrentHashMap<>();
+  private final Map<String, Report> newest = new ConcurrentHashMap<>();
 
-  private record Said(ServerLoad load, long atNanos) {}
+  private record Report(ServerLoad load, long atNanos) {}
 
-  /** Takes a word; words that waited for longer than another change nothing. */
-  interface Taker {
-    void take(String engineId, ServerLoad load, long saidNanos);
+  /**
+   * Receives the reports. It must ignore a report that is older than another one it has received.
+   */
+  interface LoadConsumer {
+    void take(String engineId, ServerLoad load, long reportedNanos);
   }
 
-  /** An engine says what it has. */
+  /** Records the load that an engine reports. */
   public void onLoadReported(String engineId, ServerLoad load, long nowNanos) {
     newest.merge(
         engineId,
-        new Said(load, nowNanos),
+        new Report(load, nowNanos),
         (old, now) -> now.atNanos - old.atNanos >= 0 ? now : old);
   }
 
-  /** Hands on each word once. */
-  void takeAll(Taker taker) {
+  /** Passes each report to a consumer once and removes it. */
+  void takeAll(LoadConsumer consumer) {
     for (String engineId : newest.keySet()) {
-      Said said = newest.remove(engineId);
-      if (said != null) {
-        taker.take(engineId, said.load, said.atNanos);
+      Report report = newest.remove(engineId);
+      if (report != null) {
+        consumer.take(engineId, report.load, report.atNanos);
       }
     }
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
@@ -11,36 +11,43 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * Says when an engine that answers nobody has gone silent, and when an attempt there is stuck. An
- * engine that reads a prompt says nothing until it has read it, so that how long it may be silent
- * follows from its pace and from the prompts that wait there: as long as the longest of them takes.
+ * Detects engines that have gone silent and attempts that are stuck (a failure detector).
  *
- * <p>Invariant: an engine that reads no more than {@link #SLOWNESS} times slower than the learned
- * speed, or than its learned pace where that is slower, is not taken for silent while it works,
- * whatever the length of the prompts, as far as what other nodes have there is known. One thread
- * calls.
+ * <p>An engine that reads a prompt sends nothing until it has read it. How long it may be silent
+ * therefore follows from its pace and from the prompts that wait there: the time to read the
+ * longest of them.
+ *
+ * <p>Invariant: an engine that works is never taken for silent, whatever the length of the prompts,
+ * if it reads no more than {@link #SLOWNESS} times slower than the learned speed of its service, or
+ * no slower than its own learned pace, and if what other nodes have there is known. Confined to one
+ * thread.
  */
 final class SilenceDetector {
 
   /**
-   * Beside the reading: until what another node has there and heard from there is known (a turn of
-   * 100 ms and a lag of 60 ms through relays), and until a node of a third of a core has taken what
-   * has come. The earlier 400 ms; others were not tried.
+   * Time allowed beyond the reading itself. It covers the delay until the load and the signs of
+   * life of other nodes are known here (a reporting interval of 100 ms and a delay of 60 ms through
+   * relays), and the time that a node with a third of a CPU core takes to process what has arrived.
    */
   private static final long BASE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-  /** By how much engines of one service may differ before it is learned. */
+  /**
+   * Factor by which an engine may be slower than the learned speed of its service before its own
+   * pace is learned.
+   */
   private static final double SLOWNESS = 1.3;
 
   /**
-   * Prompts sent later that are read first, before an attempt counts as lost: engines read in order
-   * of urgency and arrival, but a short prompt may pass a long one. Judged, not measured.
+   * Number of later prompts that the engine reads first before an attempt counts as lost. Engines
+   * read in order of urgency and arrival, but a short prompt may overtake a long one. This value is
+   * an estimate.
    */
-  private static final int OVERTAKEN_WHEN_LOST = 3;
+  private static final int OVERTAKEN_TIMES_WHEN_LOST = 3;
 
   /**
-   * Patiences, from when the engine next answered anybody, after which an attempt that goes before
-   * others counts as lost: its connection may have gone silent. Judged, not measured.
+   * Multiple of its patience after which an attempt that has priority over others counts as lost,
+   * counted from when the engine next answered any node: its connection may have gone silent. This
+   * value is an estimate.
    */
   private static final int PATIENCES_WHEN_LOST = 3;
 
@@ -48,8 +55,8 @@
   private final PeerLoads peerLoads;
   private final Function<String, PrefillSpeed> speeds;
   private final Function<String, Optional<EngineProfile>> profiles;
-  private OptionalLong beganNanos = OptionalLong.empty();
-  private boolean othersKnown;
+  private OptionalLong firstListedNanos = OptionalLong.empty();
+  private boolean peersKnown;
 
   SilenceDetector(
       EngineSelector selector,
@@ -63,31 +70,33 @@
   }
 
   /**
-   * This node learns of engines; the first time is when it begins to hear what others send them.
+   * Records that this node received a list of engines. The first time is when it begins to receive
+   * what other nodes report.
    */
   void onDirectory(long nowNanos) {
-    if (beganNanos.isEmpty()) {
-      beganNanos = OptionalLong.of(nowNanos);
+    if (firstListedNanos.isEmpty()) {
+      firstListedNanos = OptionalLong.of(nowNanos);
     }
   }
 
-  /** Whether any of the other nodes was heard, or there is none. */
+  /** Sets whether any other node has been heard or there is none. */
   void setPeersKnown(boolean known) {
-    othersKnown = known;
+    peersKnown = known;
   }
 
   /**
-   * Whether prompts may wait at engines that were sent before this node began and that it was never
-   * told of; they have been read, or given up, once a route's time has passed.
+   * Returns whether the engine may have prompts that were sent before this node started and that no
+   * node has reported to it. Such prompts have been read or given up once the timeout of a route
+   * has passed.
    */
   private boolean mayMissPrompts(RequestProgress progress, long nowNanos) {
     long routeTime = progress.envelope().route().timeout().toNanos();
-    return beganNanos.isPresent() && nowNanos - beganNanos.getAsLong() < routeTime;
+    return firstListedNanos.isPresent() && nowNanos - firstListedNanos.getAsLong() < routeTime;
   }
 
   /**
-   * Suspends the engines at which requests of this node wait and that have gone silent, and takes
-   * back those that have answered another node since.
+   * Suspends the engines that have gone silent while requests of this node wait there, and resumes
+   * those that have answered another node since.
    */
   void check(long nowNanos) {
     selector.loads().forEach((engineId, load) -> check(engineId, load, nowNanos));
@@ -100,17 +109,20 @@
         .ifPresent(oldest -> load.health().onSilence(nowNanos));
   }
 
-  /** Whether the engine of a request has said nothing for too long since it was sent. */
+  /**
+   * Returns whether the engine of a request has been silent for too long since the request was
+   * sent.
+   */
   private boolean isSilent(RequestProgress progress, long nowNanos) {
     ServingEngine engine = progress.engine().orElseThrow();
     boolean mayMiss = mayMissPrompts(progress, nowNanos);
-    if (mayMiss && !othersKnown && engine.stage() != EngineStage.NONE) {
+    if (mayMiss && !peersKnown && engine.stage() != EngineStage.NONE) {
       return false;
     }
     return silentNanos(engine, progress, nowNanos) > boundNanos(engine, mayMiss, nowNanos);
   }
 
-  private void noteSign(RequestProgress progress, ServingEngine engine, long nowNanos) {
+  private void recordSignOfLife(RequestProgress progress, ServingEngine engine, long nowNanos) {
     long silent = silentNanos(engine, progress, nowNanos);
     if (nowNanos - silent - progress.sentNanos() > 0) {
       progress.onEngineHeard(nowNanos - silent);
@@ -123,7 +135,7 @@
   }
 
   /**
-   * How long the engine may say nothing while it works.
+   * Returns how long the engine may be silent while it works, in ns.
    *
    * @param mayMiss whether prompts may wait there that this node does not know
    */
@@ -132,44 +144,55 @@
       return BASE_NANOS;
     }
     long tokens = longestTokens(engine, mayMiss, nowNanos);
-    double read = speeds.apply(engine.service()).readMillis(engine.stage(), tokens);
-    double move = CacheCopyTime.moveMillis(tokens, profiles.apply(engine.service()));
+    double readMillis = speeds.apply(engine.service()).readMillis(engine.stage(), tokens);
+    double moveMillis = CacheCopyTime.moveMillis(tokens, profiles.apply(engine.service()));
     return BASE_NANOS
-        + (long) (slowness(engine, nowNanos) * (read + move) * TimeUnit.MILLISECONDS.toNanos(1));
+        + (long)
+            (slowness(engine, nowNanos)
+                * (readMillis + moveMillis)
+                * TimeUnit.MILLISECONDS.toNanos(1));
   }
 
-  /** The learned factor counts where it is higher: a slow engine is not a dead one. */
+  /**
+   * Returns the factor by which the engine may be slower than its service. The learned factor
+   * counts where it is higher, since a slow engine is not a dead one.
+   */
   private double slowness(ServingEngine engine, long nowNanos) {
     return Math.max(SLOWNESS, selector.slowness(engine, WorkKind.READING, nowNanos));
   }
 
   /**
-   * The longest prompt that may be read there now: no longer than what waits, or than any lately.
-   * What others have there may be one prompt that this node was never told of.
+   * Returns the length in tokens of the longest prompt that the engine may be reading. It is no
+   * longer than all that waits there, nor than the longest recent prompt of the service. If this
+   * node may not know all prompts, the whole backlog of the other nodes counts as one prompt.
    */
   private long longestTokens(ServingEngine engine, boolean mayMiss, long nowNanos) {
     long backlog = selector.backlogTokens(engine, nowNanos);
-    long lately = selector.sizes(engine.service()).longest(nowNanos);
-    if (lately == 0) {
+    long recent = selector.sizes(engine.service()).longest(nowNanos);
+    if (recent == 0) {
       return backlog;
     }
     long missed = mayMiss ? peerLoads.backlog(engine.id(), nowNanos).upTo(Urgency.LEVELS - 1) : 0;
-    return Math.min(backlog, Math.max(lately, missed));
+    return Math.min(backlog, Math.max(recent, missed));
   }
 
   /**
-   * Why an attempt without a sign had better be ended; empty when it is waited for. Once its
-   * patience is over, it is waited for while its prompt merely waits behind others: its engine has
-   * answered somebody lately, and has not read what was sent after it. Before, it is left only when
-   * its engine has gone silent and the request may go elsewhere.
+   * Returns why an attempt without a sign of life should be ended; empty if it should wait on.
+   *
+   * <p>Before its patience is over, an attempt ends only if its engine has gone silent and the
+   * request may go to another engine. After that, it waits on while its prompt merely waits behind
+   * others: the engine has answered some node recently and has not read prompts that were sent
+   * later.
+   *
+   * @param patience how long the attempt waits before it is examined
    */
   Optional<StuckReason> stuck(RequestProgress progress, Duration patience, long nowNanos) {
     long waited = nowNanos - progress.sentNanos();
     if (progress.engineHeardNanos().isEmpty()) {
-      progress.engine().ifPresent(engine -> noteSign(progress, engine, nowNanos));
+      progress.engine().ifPresent(engine -> recordSignOfLife(progress, engine, nowNanos));
     }
     if (waited < patience.toNanos()) {
-      return silentBeforeItsTime(progress, nowNanos)
+      return silentWithinPatience(progress, nowNanos)
           ? Optional.of(StuckReason.ENGINE_SILENT)
           : Optional.empty();
     }
@@ -180,22 +203,23 @@
     if (isSilent(progress, nowNanos)) {
       return Optional.of(StuckReason.ENGINE_SILENT);
     }
-    boolean unheard = silentNanos(engine, progress, nowNanos) >= BASE_NANOS;
-    if (unheard && selector.suspected(engine, nowNanos)) {
+    boolean quiet = silentNanos(engine, progress, nowNanos) >= BASE_NANOS;
+    if (quiet && selector.suspected(engine, nowNanos)) {
       return Optional.of(StuckReason.ENGINE_SUSPECTED);
     }
-    if (passedOver(progress, patience, nowNanos)) {
+    if (skippedForOthers(progress, patience, nowNanos)) {
       return Optional.of(StuckReason.CONNECTION_SILENT);
     }
-    return progress.overtakenBy() >= OVERTAKEN_WHEN_LOST
+    return progress.overtakenBy() >= OVERTAKEN_TIMES_WHEN_LOST
         ? Optional.of(StuckReason.OVERTAKEN)
         : Optional.empty();
   }
 
   /**
-   * Whether its engine was suspended for silence, and has said nothing since it was sent either.
+   * Returns whether the engine of a request was suspended for silence and has been silent since the
+   * request was sent, too.
    */
-  private boolean silentBeforeItsTime(RequestProgress progress, long nowNanos) {
+  private boolean silentWithinPatience(RequestProgress progress, long nowNanos) {
     return progress
         .engine()
         .map(engine -> selector.load(engine).health())
@@ -205,10 +229,12 @@
   }
 
   /**
-   * Whether a request that goes before others has not been answered although its engine has read
-   * something else since, and has then had time for all that was expected to go before.
+   * Returns whether a request that has priority over others is unanswered although its engine has
+   * read another prompt since, and has then had time for all prompts that were expected to be read
+   * before.
    */
-  private static boolean passedOver(RequestProgress progress, Duration patience, long nowNanos) {
+  private static boolean skippedForOthers(
+      RequestProgress progress, Duration patience, long nowNanos) {
     OptionalLong heard = progress.engineHeardNanos();
     return !progress.goesBehind()
         && heard.isPresent()
