--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -42,7 +42,7 @@
         .loads()
         .forEach(
             (id, load) -> {
-              if (hasNews(id, load, listed, nowNanos)) {
+              if (hasAnythingToReport(id, load, listed, nowNanos)) {
                 digests.put(id, digest(id, load, listed, nowNanos));
               }
             });
@@ -57,30 +57,31 @@
         load.health().warnsOthers(nowNanos) ? 1 : 0,
         selector.changes(id) ? 1 : 0,
         heardAgoMillis(load, nowNanos),
-        leavesUnlisted(id, listed) ? 1 : 0,
+        leavesUnannounced(id, listed) ? 1 : 0,
         notices.limits().digest(id, nowNanos),
-        pace.lately(id, nowNanos));
+        pace.recentPace(id, nowNanos));
   }
 
   /**
    * Returns whether there is anything to report of an engine. This is called for all engines at
    * each reporting interval, and this node does not use most of them at the time.
    */
-  private boolean hasNews(String id, EngineLoad load, EngineDirectory listed, long nowNanos) {
+  private boolean hasAnythingToReport(
+      String id, EngineLoad load, EngineDirectory listed, long nowNanos) {
     return !load.idle()
         || load.heardWithin(REPORTED_SIGN_NANOS, nowNanos)
         || load.health().warnsOthers(nowNanos)
         || selector.changes(id)
-        || leavesUnlisted(id, listed)
+        || leavesUnannounced(id, listed)
         || !notices.limits().digest(id, nowNanos).saysNothing()
-        || !pace.lately(id, nowNanos).saysNothing();
+        || !pace.recentPace(id, nowNanos).saysNothing();
   }
 
   /**
    * Returns whether an engine is leaving although its directory entry does not say so: other nodes
    * may not know it yet.
    */
-  private boolean leavesUnlisted(String id, EngineDirectory listed) {
+  private boolean leavesUnannounced(String id, EngineDirectory listed) {
     return notices.leaves(id) && listed.find(id).filter(engine -> !engine.leaving()).isPresent();
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -17,17 +17,21 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * Tells the learned pace of what this node's requests took, against what they should have taken by
- * what was known when they were sent. Counted from when they were sent and with what was ahead, so
- * that an engine is not held to be slow for what waited there. One thread calls.
+ * Feeds the learned pace of engines with the durations of this node's requests, each compared with
+ * the duration that was expected when the request was sent. A duration counts from the sending, and
+ * the expectation includes the work that waited ahead, so that an engine with a backlog does not
+ * seem slow. Confined to one thread.
  */
 final class PaceObserver {
 
   private static final double NANOS_PER_MILLI = 1e6;
   private static final double PERCENT = 100;
 
-  /** Shorter prompts take as long as the ways and the steps, and are compared with each other. */
-  private static final int SHORT_TOKENS = 1_000;
+  /**
+   * Length in tokens below which a prompt takes about as long as the network and the engine's steps
+   * take, whatever its length. Such prompts are compared only with each other.
+   */
+  private static final int SHORT_PROMPT_TOKENS = 1_000;
 
   private final LearnedPace learned;
   private final Function<String, PrefillSpeed> speeds;
@@ -35,9 +39,11 @@
   private final Map<String, WorkKind> kinds = new HashMap<>();
 
   /**
-   * A feed of a pace that knows nothing.
+   * Creates an observer that has learned nothing.
    *
-   * @param enabled whether anything is learned, told and gone by
+   * @param peerLoads gives the pace that other nodes report
+   * @param speeds gives the learned prefill speed of a service
+   * @param enabled whether pace is learned, reported and used in decisions
    */
   PaceObserver(PeerLoads peerLoads, Function<String, PrefillSpeed> speeds, boolean enabled) {
     this.learned = new LearnedPace(peerLoads::pace);
@@ -45,12 +51,12 @@
     this.enabled = enabled;
   }
 
-  /** What decisions go by. */
+  /** Returns the pace that decisions use. */
   EnginePace pace() {
     return enabled ? learned : EnginePace.EVEN;
   }
 
-  /** Takes the listed engines; what was learned of others is dropped. */
+  /** Takes the listed engines and drops what was learned of all others. */
   void onDirectory(EngineDirectory directory) {
     kinds.clear();
     directory.all().forEach(engine -> kinds.put(engine.id(), kind(engine)));
@@ -61,36 +67,39 @@
     return engine.stage() == EngineStage.NONE ? WorkKind.APPLICATION : WorkKind.READING;
   }
 
-  /** Takes what the other nodes have told; called some times a second. */
+  /** Takes the pace that the other nodes have reported. Called several times a second. */
   void onTick(long nowNanos) {
     if (enabled) {
       learned.onTick(kinds, nowNanos);
     }
   }
 
-  /** Takes what a listed engine says of itself. */
-  void onLoadReported(String engineId, ServerLoad load, long saidNanos) {
+  /** Takes the load that a listed engine reports of itself, with its pace. */
+  void onLoadReported(String engineId, ServerLoad load, long reportedNanos) {
     if (enabled && kinds.containsKey(engineId) && load.pacePercent().isPresent()) {
-      learned.onOwnWord(engineId, load.pacePercent().getAsInt() / PERCENT, saidNanos);
+      learned.onOwnWord(engineId, load.pacePercent().getAsInt() / PERCENT, reportedNanos);
     }
   }
 
-  /** What this node's requests say of an engine, for the other nodes. */
-  PaceWord lately(String engineId, long nowNanos) {
+  /**
+   * Returns what this node's recent requests say about the pace of an engine, for the other nodes.
+   */
+  PaceWord recentPace(String engineId, long nowNanos) {
     WorkKind kind = kinds.get(engineId);
     return !enabled || kind == null
         ? PaceWord.NONE
         : learned.lately(engineId, kind, nowNanos).worthTelling();
   }
 
-  /** Engines whose state has changed since the last call. */
+  /** Removes and returns the changes of the engines' states since the last call. */
   List<PaceChange> takeChanges(long nowNanos) {
     return learned.takeChanges(nowNanos);
   }
 
   /**
-   * A prompt is about to be sent; one that has been read elsewhere says nothing of reading, and one
-   * that lets others go first nothing of how long it takes.
+   * Records the expected duration of a prompt that is about to be sent. A prompt that another
+   * engine has read says nothing about reading, and a late one, which lets others go first, says
+   * nothing about how long reading takes; neither is recorded.
    */
   void onPlaced(RequestProgress progress, PromptPlacement.Plan plan, long nowNanos) {
     if (!enabled
@@ -104,17 +113,17 @@
     long tokens = plan.aheadTokens() + plan.readTokens();
     double reading = speeds.apply(engine.service()).readMillis(engine.stage(), tokens);
     double weight = (double) plan.readTokens() / tokens;
-    String length = plan.readTokens() < SHORT_TOKENS ? "short" : "long";
+    String length = plan.readTokens() < SHORT_PROMPT_TOKENS ? "short" : "long";
     String work = engine.service() + ' ' + engine.stage() + ' ' + length;
-    double even = plan.millis() - (plan.slowness() - 1) * reading;
-    progress.expect(new ExpectedWork(WorkKind.READING, work, even, weight, forecast));
+    double usualMillis = plan.millis() - (plan.slowness() - 1) * reading;
+    progress.expect(new ExpectedWork(WorkKind.READING, work, usualMillis, weight, forecast));
   }
 
   /**
-   * A request that is no prompt is about to be sent: past the slots of its engine it waits for
-   * others.
+   * Records the expected duration of a request without a prompt that is about to be sent. If the
+   * engine has no free slot, the request waits for others.
    *
-   * @param running requests of all nodes at the engine, this one not yet
+   * @param running number of requests of all nodes at the engine, without this one
    */
   void onPlaced(RequestProgress progress, ServingEngine engine, int running, long nowNanos) {
     if (!enabled) {
@@ -126,7 +135,7 @@
     progress.expect(new ExpectedWork(WorkKind.APPLICATION, work, rounds, 1 / rounds, forecast));
   }
 
-  /** The work that was sent has been done: the prompt was read, or the answer began. */
+  /** Records how long the work of a request took: its prompt was read, or its answer has begun. */
   void onDone(RequestProgress progress, long nowNanos) {
     if (!enabled || progress.engine().isEmpty()) {
       return;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
@@ -15,72 +15,79 @@
 import org.fallturn.core.pace.PaceWord;
 
 /**
- * What the other nodes last said they have at each engine. A node that has said nothing for a while
- * counts as having nothing, so that the loss of a node does not leave load behind. Sums by engine
- * are kept, and made anew at most every few ms, so that a decision costs no more when there are
- * many nodes.
+ * The load that the other nodes last reported at each engine. A node that has reported nothing for
+ * a while counts as having no load, so that a lost node leaves none behind. The sums by engine are
+ * cached and recomputed at most every few ms, so that a decision costs no more in a fleet of many
+ * nodes.
  *
- * <p>Invariant: while a view of the whole fleet is fresh, what relays say is left out of the sums,
- * since the view holds it. One thread calls.
+ * <p>Invariant: while a view of the whole fleet is fresh, the sums leave out what relays report,
+ * since the view contains it. Confined to one thread.
  */
 public final class PeerLoads {
 
   /**
-   * How long a relay's message is believed: three heartbeats. Those that reported to one that is
-   * lost find another sooner and count twice until then.
+   * How long a relay's message counts: three heartbeats. The members of a lost relay find another
+   * one sooner than that, and count twice until then.
    */
-  private static final long LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+  private static final long RELAY_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
-  /** Views come every 100 ms. */
+  /** How long a view of the fleet counts; one comes every 100 ms. */
   public static final long VIEW_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   /**
-   * A node reports every 300 ms at least, every 100 ms while it has requests; one that is not heard
-   * for longer is told nothing either, so that it finds another relay.
+   * How long a member's report counts. A node reports at least every 300 ms, and every 100 ms while
+   * it has requests. A member that has not been heard for this long gets no views any more, so that
+   * it finds another relay.
    */
   private static final long MEMBER_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
   /**
-   * From placing a prompt to knowing of it through relays: 40 ms in the median and 65 ms in nine of
-   * ten cases in the simulated fleet of 95 nodes (docs/design/knowledge.md). Other figures were not
-   * tried.
+   * Estimated time in ms from placing a prompt until other nodes learn of it through relays. In a
+   * simulated fleet of 95 nodes the median was 40 ms and the 90th percentile 65 ms
+   * (docs/design/knowledge.md).
    */
-  private static final double LAG_THROUGH_RELAYS_MILLIS = 60;
+  private static final double RELAY_LAG_MILLIS = 60;
 
   private static final long SUMS_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
-  /** Longer than any engine that works says nothing; only bounds what is kept of engines gone. */
+  /**
+   * How long a sign of life is kept. It is longer than any working engine is silent, and only
+   * bounds what is kept of engines that are gone.
+   */
   private static final long SIGN_LIFETIME_NANOS = TimeUnit.SECONDS.toNanos(30);
 
-  /** One node alone may merely have lost its own way to the engine. */
-  private static final int SUSPECTING_NODES = 2;
+  /**
+   * Number of other nodes that must suspend an engine before it is suspected: one node alone may
+   * merely have lost its own connection to it.
+   */
+  private static final int MIN_SUSPECTING_NODES = 2;
 
   private static final Sum NOTHING = new Sum();
 
-  private final Map<String, Heard> heardByNode = new HashMap<>();
-  private final Map<String, Long> signs = new HashMap<>();
+  private final Map<String, Received> receivedByNode = new HashMap<>();
+  private final Map<String, Long> signsOfLife = new HashMap<>();
   private Map<String, Sum> sums = new HashMap<>();
   private Map<String, BudgetDigest> budgets = new HashMap<>();
   private long sumsAtNanos;
   private boolean sumsStale = true;
 
-  /** Whom a message speaks for. */
+  /** The nodes for which a message speaks. */
   public enum Source {
-    /** A node that reports to this one, and those that report to it. */
+    /** A member, which is a node that reports to this one, and the nodes that report to it. */
     MEMBER(MEMBER_LIFETIME_NANOS) {
       @Override
       boolean counts(boolean viewKnown) {
         return true;
       }
     },
-    /** A relay and those that report to it. */
-    RELAY(LIFETIME_NANOS) {
+    /** A relay and its members. */
+    RELAY(RELAY_LIFETIME_NANOS) {
       @Override
       boolean counts(boolean viewKnown) {
         return !viewKnown;
       }
     },
-    /** All nodes but this one and those that report to it. */
+    /** All nodes but this one and its members. */
     VIEW(VIEW_LIFETIME_NANOS) {
       @Override
       boolean counts(boolean viewKnown) {
@@ -94,195 +101,211 @@
       this.lifetimeNanos = lifetimeNanos;
     }
 
-    /** Whether it is part of the sums. */
+    /**
+     * Returns whether messages of this kind are part of the sums.
+     *
+     * @param viewKnown whether a view of the fleet is fresh
+     */
     abstract boolean counts(boolean viewKnown);
   }
 
   /**
-   * Takes a digest; one that is older than the last from the same process is dropped.
+   * Takes a digest. A digest that is older than the last one from the same process is dropped.
    *
-   * @param speaker where it came from
+   * @param source the nodes for which the digest speaks
+   * @param sender address of the node that sent it
    */
-  public void onDigest(LoadDigest digest, Source source, NetworkAddress speaker, long nowNanos) {
-    Heard before = heardByNode.get(digest.node());
+  public void onDigest(LoadDigest digest, Source source, NetworkAddress sender, long nowNanos) {
+    Received before = receivedByNode.get(digest.node());
     if (before != null && before.digest.isNewerThan(digest) && before.fresh(nowNanos)) {
       return;
     }
     if (source == Source.VIEW) {
-      heardByNode.values().removeIf(heard -> heard.source == Source.VIEW);
+      receivedByNode.values().removeIf(heard -> heard.source == Source.VIEW);
     }
-    heardByNode.put(digest.node(), new Heard(digest, source, speaker, nowNanos));
+    receivedByNode.put(digest.node(), new Received(digest, source, sender, nowNanos));
     sumsStale = true;
-    digest.engines().forEach((id, engine) -> takeSign(id, engine, nowNanos));
+    digest.engines().forEach((id, engine) -> recordSignOfLife(id, engine, nowNanos));
   }
 
-  /** A sign of life stays known when whoever had it has nothing more to say of the engine. */
-  private void takeSign(String engineId, EngineDigest engine, long toldNanos) {
+  /**
+   * Records a sign of life apart from the digest, so that it stays known when the node that
+   * received it has nothing more to report of the engine.
+   */
+  private void recordSignOfLife(String engineId, EngineDigest engine, long receivedNanos) {
     if (engine.heardAgoMillis() != EngineDigest.NOT_HEARD) {
-      long heardNanos = toldNanos - TimeUnit.MILLISECONDS.toNanos(engine.heardAgoMillis());
-      signs.merge(engineId, heardNanos, (old, now) -> now - old > 0 ? now : old);
+      long heardNanos = receivedNanos - TimeUnit.MILLISECONDS.toNanos(engine.heardAgoMillis());
+      signsOfLife.merge(engineId, heardNanos, (old, now) -> now - old > 0 ? now : old);
     }
   }
 
-  /** Whether several other nodes have suspended the engine. */
+  /** Returns whether several other nodes have suspended the engine. */
   boolean suspectedByPeers(String engineId, long nowNanos) {
-    return sum(engineId, nowNanos).suspecting >= SUSPECTING_NODES;
+    return sum(engineId, nowNanos).suspecting >= MIN_SUSPECTING_NODES;
   }
 
-  /** Whether another node has ordered the engine to take another stage. */
+  /** Returns whether another node has ordered the engine to change to another stage. */
   boolean changing(String engineId, long nowNanos) {
     return sum(engineId, nowNanos).changing > 0;
   }
 
-  /** Whether no other node that may order stages, and was heard of lately, goes before this one. */
+  /**
+   * Returns whether this node's name comes before those of all other nodes that may order changes
+   * of stage and were heard recently.
+   */
   boolean isFirstByName(String node, long nowNanos) {
-    return counted(nowNanos).stream()
-        .allMatch(heard -> first(node, heard.digest.firstNode()).equals(node));
+    return countedDigests(nowNanos).stream()
+        .allMatch(heard -> lowestName(node, heard.digest.firstNode()).equals(node));
   }
 
-  /** Whether no other node that was heard of lately may order stages. */
+  /**
+   * Returns whether none of the other nodes that were heard recently may order changes of stage.
+   */
   boolean noPeerMayOrder(long nowNanos) {
-    return counted(nowNanos).stream().allMatch(heard -> heard.digest.firstNode().isEmpty());
+    return countedDigests(nowNanos).stream().allMatch(heard -> heard.digest.firstNode().isEmpty());
   }
 
-  /** The first of two names; an empty one is none. */
-  private static String first(String left, String right) {
+  /** Returns the name that comes first in alphabetical order; an empty name stands for no node. */
+  private static String lowestName(String left, String right) {
     if (left.isEmpty() || right.isEmpty()) {
       return left + right;
     }
     return left.compareTo(right) <= 0 ? left : right;
   }
 
-  /** When another node last had a sign of life from an engine, as far as it is known. */
+  /** Returns when another node last received a sign of life from an engine, if that is known. */
   OptionalLong heardNanos(String engineId) {
-    Long heardNanos = signs.get(engineId);
+    Long heardNanos = signsOfLife.get(engineId);
     return heardNanos == null ? OptionalLong.empty() : OptionalLong.of(heardNanos);
   }
 
-  /** Requests that the other nodes have at an engine. */
+  /** Returns how many requests the other nodes have at an engine. */
   public int running(String engineId, long nowNanos) {
     return sum(engineId, nowNanos).running;
   }
 
-  /** What the other nodes tell of a limit that the engine names. */
+  /** Returns what the other nodes report of a rate limit that the engine announces. */
   LimitDigest limit(String engineId, long nowNanos) {
     return sum(engineId, nowNanos).limit;
   }
 
-  /** What the other nodes' work at an engine lately says of its pace. */
+  /** Returns what the recent work of the other nodes at an engine says about its pace. */
   PaceWord pace(String engineId, long nowNanos) {
     Sum sum = sum(engineId, nowNanos);
     return sum.pace.aged(nowNanos - sumsAtNanos);
   }
 
-  /** What the other nodes tell of the retry budget of a service. */
+  /** Returns what the other nodes report of the retry budget of a service. */
   BudgetDigest budget(String service, long nowNanos) {
     refresh(nowNanos);
     return budgets.getOrDefault(service, BudgetDigest.NONE);
   }
 
-  /** Services of whose retry budgets other nodes tell something. */
+  /** Returns the services for which other nodes report shares of a retry budget. */
   Set<String> budgetedServices(long nowNanos) {
     refresh(nowNanos);
     return Set.copyOf(budgets.keySet());
   }
 
-  /** Long answers among them that have begun. */
+  /** Returns how many long answers the other nodes have begun at an engine. */
   int streams(String engineId, long nowNanos) {
     return sum(engineId, nowNanos).streams;
   }
 
-  /** Prompt tokens that the other nodes have waiting at an engine. */
+  /** Returns the prompt tokens of the other nodes that wait at an engine. */
   PromptBacklog backlog(String engineId, long nowNanos) {
     return sum(engineId, nowNanos).backlog;
   }
 
   /**
-   * How long it takes until what another node does is known here; nothing worth counting where all
-   * speak to each other, since prompts are told at once.
+   * Returns the time in ms until this node knows what another node does. It is negligible where all
+   * nodes speak directly to each other, since they report prompts at once.
    */
   double lagMillis(long nowNanos) {
     if (viewReceivedWithin(VIEW_LIFETIME_NANOS, nowNanos)) {
-      return LAG_THROUGH_RELAYS_MILLIS;
+      return RELAY_LAG_MILLIS;
     }
     return 0;
   }
 
-  /** How many nodes there are, this one included. */
+  /** Returns how many nodes there are, this one included. */
   public int nodeCount(long nowNanos) {
-    return 1 + counted(nowNanos).stream().mapToInt(heard -> heard.digest.nodes()).sum();
+    return 1 + countedDigests(nowNanos).stream().mapToInt(heard -> heard.digest.nodes()).sum();
   }
 
-  /** Whether any node reports to this one. */
+  /** Returns whether any node reports to this one. */
   public boolean hasMembers(long nowNanos) {
     return fresh(Source.MEMBER, nowNanos).findAny().isPresent();
   }
 
-  /** Whether a view of the fleet came within a time. */
+  /** Returns whether a view of the fleet came within the last {@code nanos}. */
   public boolean viewReceivedWithin(long nanos, long nowNanos) {
-    return heardByNode.values().stream()
+    return receivedByNode.values().stream()
         .anyMatch(heard -> heard.source == Source.VIEW && nowNanos - heard.atNanos < nanos);
   }
 
-  /** Where messages of a kind came from lately. */
+  /** Returns the addresses from which fresh messages of a kind came. */
   public List<NetworkAddress> senders(Source source, long nowNanos) {
-    return fresh(source, nowNanos).map(heard -> heard.speaker).toList();
+    return fresh(source, nowNanos).map(heard -> heard.sender).toList();
   }
 
-  /** What this node and those that report to it have together. */
+  /** Returns the load of this node and its members together. */
   public LoadDigest group(LoadDigest own, long nowNanos) {
-    List<Heard> members = fresh(Source.MEMBER, nowNanos).toList();
-    return members.isEmpty() ? own : together(own, members, nowNanos);
+    List<Received> members = fresh(Source.MEMBER, nowNanos).toList();
+    return members.isEmpty() ? own : combine(own, members, nowNanos);
   }
 
-  private Stream<Heard> fresh(Source source, long nowNanos) {
-    return heardByNode.values().stream()
+  private Stream<Received> fresh(Source source, long nowNanos) {
+    return receivedByNode.values().stream()
         .filter(heard -> heard.source == source && heard.fresh(nowNanos));
   }
 
-  private static LoadDigest together(LoadDigest own, List<Heard> others, long nowNanos) {
+  private static LoadDigest combine(LoadDigest own, List<Received> others, long nowNanos) {
     Map<String, Sum> all = new HashMap<>();
     addTo(all, own, nowNanos, nowNanos);
     int nodes = own.nodes();
-    String first = own.firstNode();
-    for (Heard other : others) {
+    String lowestName = own.firstNode();
+    for (Received other : others) {
       addTo(all, other.digest, other.atNanos, nowNanos);
       nodes += other.digest.nodes();
-      first = first(first, other.digest.firstNode());
+      lowestName = lowestName(lowestName, other.digest.firstNode());
     }
     Map<String, BudgetDigest> budgets = new HashMap<>(own.budgets());
     others.forEach(other -> addBudgets(budgets, other, nowNanos));
-    return own.withGroup(nodes, first, digests(all, nowNanos), budgets);
+    return own.withGroup(nodes, lowestName, digests(all, nowNanos), budgets);
   }
 
-  /** What each node that reports to this one is told: what all have but those it speaks for. */
+  /**
+   * Returns the view for each member, by its address: the load of all nodes but those for which the
+   * member speaks.
+   */
   public Map<NetworkAddress, LoadDigest> views(LoadDigest own, long nowNanos) {
-    List<Heard> counted = counted(nowNanos);
+    List<Received> countedDigests = countedDigests(nowNanos);
     Map<NetworkAddress, LoadDigest> views = new HashMap<>();
-    for (Heard member : counted) {
+    for (Received member : countedDigests) {
       if (member.source == Source.MEMBER) {
-        List<Heard> others = counted.stream().filter(heard -> heard != member).toList();
-        views.put(member.speaker, together(own, others, nowNanos));
+        List<Received> others = countedDigests.stream().filter(heard -> heard != member).toList();
+        views.put(member.sender, combine(own, others, nowNanos));
       }
     }
     return views;
   }
 
   private static void addTo(
-      Map<String, Sum> all, LoadDigest digest, long toldNanos, long nowNanos) {
+      Map<String, Sum> all, LoadDigest digest, long receivedNanos, long nowNanos) {
     digest
         .engines()
         .forEach(
             (id, engine) ->
-                all.computeIfAbsent(id, key -> new Sum()).add(engine, toldNanos, nowNanos));
+                all.computeIfAbsent(id, key -> new Sum()).add(engine, receivedNanos, nowNanos));
   }
 
-  private static void addBudgets(Map<String, BudgetDigest> all, Heard heard, long nowNanos) {
+  private static void addBudgets(Map<String, BudgetDigest> all, Received heard, long nowNanos) {
     if (nowNanos - heard.atNanos < SharedBudget.TOLD_LIFETIME_NANOS) {
       heard
           .digest
           .budgets()
-          .forEach((service, told) -> all.merge(service, told, BudgetDigest::plus));
+          .forEach((service, reported) -> all.merge(service, reported, BudgetDigest::plus));
     }
   }
 
@@ -300,16 +323,16 @@
   private void refresh(long nowNanos) {
     boolean old = nowNanos - sumsAtNanos >= SUMS_LIFETIME_NANOS;
     if (sumsStale && old || nowNanos - sumsAtNanos >= SharedBudget.TOLD_LIFETIME_NANOS) {
-      addUp(nowNanos);
+      recomputeSums(nowNanos);
     }
   }
 
-  private void addUp(long nowNanos) {
-    heardByNode.values().removeIf(heard -> !heard.fresh(nowNanos));
-    signs.values().removeIf(heardNanos -> nowNanos - heardNanos > SIGN_LIFETIME_NANOS);
+  private void recomputeSums(long nowNanos) {
+    receivedByNode.values().removeIf(heard -> !heard.fresh(nowNanos));
+    signsOfLife.values().removeIf(heardNanos -> nowNanos - heardNanos > SIGN_LIFETIME_NANOS);
     sums = new HashMap<>();
     budgets = new HashMap<>();
-    counted(nowNanos)
+    countedDigests(nowNanos)
         .forEach(
             heard -> {
               addTo(sums, heard.digest, heard.atNanos, nowNanos);
@@ -319,25 +342,25 @@
     sumsStale = false;
   }
 
-  private List<Heard> counted(long nowNanos) {
+  private List<Received> countedDigests(long nowNanos) {
     boolean viewKnown = viewReceivedWithin(VIEW_LIFETIME_NANOS, nowNanos);
-    List<Heard> counted = new ArrayList<>();
-    for (Heard heard : heardByNode.values()) {
+    List<Received> countedDigests = new ArrayList<>();
+    for (Received heard : receivedByNode.values()) {
       if (heard.fresh(nowNanos) && heard.source.counts(viewKnown)) {
-        counted.add(heard);
+        countedDigests.add(heard);
       }
     }
-    return counted;
+    return countedDigests;
   }
 
-  private record Heard(LoadDigest digest, Source source, NetworkAddress speaker, long atNanos) {
+  private record Received(LoadDigest digest, Source source, NetworkAddress sender, long atNanos) {
 
     boolean fresh(long nowNanos) {
       return nowNanos - atNanos < source.lifetimeNanos;
     }
   }
 
-  /** What several nodes have at one engine. */
+  /** The sum of what several nodes have at one engine. */
   private static final class Sum {
 
     private int running;
@@ -351,18 +374,18 @@
     private boolean heard;
     private long heardNanos;
 
-    void add(EngineDigest engine, long toldNanos, long nowNanos) {
+    void add(EngineDigest engine, long receivedNanos, long nowNanos) {
       running += engine.running();
       streams += engine.streams();
       backlog.addAll(engine.waitingTokens());
       suspecting += engine.suspecting();
       changing += engine.changing();
       leaving += engine.leaving();
-      int age = (int) TimeUnit.NANOSECONDS.toMillis(nowNanos - toldNanos);
+      int age = (int) TimeUnit.NANOSECONDS.toMillis(nowNanos - receivedNanos);
       limit = limit.and(engine.limit().aged(age));
-      pace = pace.and(engine.pace().aged(nowNanos - toldNanos));
+      pace = pace.and(engine.pace().aged(nowNanos - receivedNanos));
       if (engine.heardAgoMillis() != EngineDigest.NOT_HEARD) {
-        onHeard(toldNanos - TimeUnit.MILLISECONDS.toNanos(engine.heardAgoMillis()));
+        onHeard(receivedNanos - TimeUnit.MILLISECONDS.toNanos(engine.heardAgoMillis()));
       }
     }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeed.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeed.java
@@ -4,55 +4,70 @@
 import org.fallturn.core.routing.EngineStage;
 
 /**
- * How fast the prefill engines of one service read prompts, learned from how long they took. The
- * first observations count most, so that the configured guess is gone after a few; later ones are
- * smoothed, and those that seem slow least, since a prompt may have waited unknown to this node. A
- * node that has learned nothing yet takes what another node learned. One thread calls.
+ * The speed at which the prefill engines of one service read prompts, learned from how long prompts
+ * took.
+ *
+ * <p>The first observations have the largest weights, so that the configured assumption loses its
+ * effect after a few of them. Later observations are smoothed exponentially. Slow ones have the
+ * least weight, since a prompt may have waited behind others that this node did not know. A node
+ * that has learned nothing yet takes over what another node has learned. Confined to one thread.
  */
 final class PrefillSpeed {
 
   /**
-   * Weights of an observation once there are many. Nothing makes reading seem faster than it is,
-   * but prompts of other nodes that are not known yet make it seem slower: one that is faster
-   * counts for more. Judged.
+   * Weight of an observation that is faster than the estimate, once there are many. Nothing makes
+   * reading seem faster than it is, but prompts of other nodes that are not known yet make it seem
+   * slower. A faster observation therefore has more weight. Both weights are estimates.
    */
   private static final double FASTER_WEIGHT = 0.25;
 
   private static final double SLOWER_WEIGHT = 0.05;
 
-  /** A node has learned enough to tell others, and needs no other's knowledge. */
+  /**
+   * Number of observations after which a node reports its speed to others and takes over none of
+   * theirs.
+   */
   private static final int ENOUGH_SAMPLES = 8;
 
-  /** Shorter prompts say more about the network than about reading. */
+  /**
+   * Minimum length of an observed prompt in tokens: shorter prompts say more about the network than
+   * about reading.
+   */
   private static final int MIN_TOKENS = 1_000;
 
-  /** Bounds of what an observation can say, in tokens a ms. */
-  private static final double SLOWEST = 2;
+  /** Lower bound of an observation, in tokens per ms. */
+  private static final double MIN_TOKENS_PER_MILLI = 2;
 
-  private static final double FASTEST = 2_000;
+  private static final double MAX_TOKENS_PER_MILLI = 2_000;
 
-  /** A decode engine reads at half the pace, between the tokens of its running requests. */
-  private static final double DECODE_SHARE = 0.5;
+  /**
+   * Speed of a decode engine relative to a prefill engine: it reads prompts between the tokens of
+   * its running requests.
+   */
+  private static final double DECODE_SPEED_RATIO = 0.5;
 
   private double tokensPerMilli;
   private int samples;
-  private boolean told;
+  private boolean takenOver;
 
   PrefillSpeed(double assumedTokensPerMilli) {
     this.tokensPerMilli = assumedTokensPerMilli;
   }
 
   /**
-   * A prompt was read within a time, counted from when it was sent. Not from when its engine last
-   * answered: it ends several prompts in one step, and the last of them would seem to take no time.
+   * Records that an engine has read a prompt. The time counts from the sending, and not from the
+   * last answer of the engine: an engine ends several prompts in one step, and the last of them
+   * would seem to take no time.
    *
-   * @param aheadTokens that were known to wait before it
+   * @param aheadTokens tokens that were known to wait before the prompt
+   * @param tokens length of the prompt in tokens
+   * @param millis time in ms from the sending until the prompt was read
    */
   void observe(long aheadTokens, long tokens, double millis) {
     if (tokens < MIN_TOKENS || millis <= 0) {
       return;
     }
-    double sample = Math.min(FASTEST, Math.max(SLOWEST, tokens / millis));
+    double sample = Math.min(MAX_TOKENS_PER_MILLI, Math.max(MIN_TOKENS_PER_MILLI, tokens / millis));
     boolean faster = sample > tokensPerMilli;
     if (!faster && aheadTokens > 0) {
       return;
@@ -62,45 +77,49 @@
     tokensPerMilli += weight * (sample - tokensPerMilli);
   }
 
-  /** What this node can tell others; empty while it has seen little itself. */
+  /**
+   * Returns the speed that this node has learned and can report to others; empty while it has seen
+   * too few prompts itself.
+   */
   Optional<LearnedSpeed> learned() {
     return samples >= ENOUGH_SAMPLES
         ? Optional.of(new LearnedSpeed(tokenMillis()))
         : Optional.empty();
   }
 
-  /** Whether it is more than a guess. */
+  /** Returns whether the speed was learned here or by another node, and is not the assumption. */
   boolean isKnown() {
-    return told || samples >= ENOUGH_SAMPLES;
+    return takenOver || samples >= ENOUGH_SAMPLES;
   }
 
-  /** Takes what another node has learned, unless this node has seen or heard enough. */
+  /** Takes over what another node has learned, unless this node already knows the speed. */
   void onPeerReport(LearnedSpeed learned) {
     if (isKnown() || learned.tokenMillis() <= 0) {
       return;
     }
-    told = true;
+    takenOver = true;
     samples = ENOUGH_SAMPLES;
-    tokensPerMilli = Math.min(FASTEST, Math.max(SLOWEST, 1 / learned.tokenMillis()));
+    tokensPerMilli =
+        Math.min(MAX_TOKENS_PER_MILLI, Math.max(MIN_TOKENS_PER_MILLI, 1 / learned.tokenMillis()));
   }
 
-  /** Time in ms that a token takes at a prefill engine. */
+  /** Returns the time in ms that a prefill engine takes to read a token. */
   double tokenMillis() {
     return 1 / tokensPerMilli;
   }
 
-  /** Time in ms in which an engine of a stage reads so many tokens. */
+  /** Returns the time in ms that an engine of a stage takes to read some tokens. */
   double readMillis(EngineStage stage, long tokens) {
     return stage == EngineStage.PREFILL ? prefillMillis(tokens) : decodeMillis(tokens);
   }
 
-  /** Time in ms in which a prefill engine reads so many tokens. */
+  /** Returns the time in ms that a prefill engine takes to read some tokens. */
   double prefillMillis(long tokens) {
     return tokens / tokensPerMilli;
   }
 
-  /** Time in ms in which a decode engine reads so many tokens. */
+  /** Returns the time in ms that a decode engine takes to read some tokens. */
   double decodeMillis(long tokens) {
-    return tokens / (DECODE_SHARE * tokensPerMilli);
+    return tokens / (DECODE_SPEED_RATIO * tokensPerMilli);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeeds.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeeds.java
@@ -4,16 +4,17 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 
-/** How fast the engines of each service read. One thread calls. */
+/** The speeds at which the engines of each service read prompts. Confined to one thread. */
 final class PrefillSpeeds {
 
   private final DoubleSupplier assumedTokensPerMilli;
   private final Map<String, PrefillSpeed> byService = new HashMap<>();
 
   /**
-   * Nothing is learned yet.
+   * Creates an instance that has learned nothing.
    *
-   * @param assumedTokensPerMilli what a service begins with
+   * @param assumedTokensPerMilli gives the speed in tokens per ms that is assumed until the speed
+   *     of a service is learned
    */
   PrefillSpeeds(DoubleSupplier assumedTokensPerMilli) {
     this.assumedTokensPerMilli = assumedTokensPerMilli;
@@ -24,7 +25,10 @@
         service, name -> new PrefillSpeed(assumedTokensPerMilli.getAsDouble()));
   }
 
-  /** By service, as far as this node has learned it itself. */
+  /**
+   * Returns the learned speeds by service, of the services for which this node has seen enough
+   * prompts itself.
+   */
   Map<String, LearnedSpeed> learned() {
     Map<String, LearnedSpeed> learned = new HashMap<>();
     byService.forEach(
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptBacklog.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptBacklog.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * Prompt tokens that wait to be read at one engine, by the {@link Urgency} level of their requests:
- * a request waits only for those of its own level and of those before it. One thread calls.
+ * The prompt tokens that wait to be read at one engine, by the {@link Urgency} level of their
+ * requests. A request waits only for those of its own level and of lower (more urgent) levels.
+ * Confined to one thread.
  */
 final class PromptBacklog {
 
@@ -15,7 +16,7 @@
     tokens[level] += count;
   }
 
-  /** Adds what {@link #toList} gave. */
+  /** Adds the tokens that {@link #toList} returned. */
   void addAll(List<Long> byLevel) {
     int known = Math.min(tokens.length, byLevel.size());
     for (int level = 0; level < known; level++) {
@@ -23,7 +24,11 @@
     }
   }
 
-  /** Tokens that go before a request of a level. */
+  /**
+   * Returns the tokens that are read before a request of a level.
+   *
+   * @param last the level of the request; its own tokens count
+   */
   long upTo(int last) {
     long sum = 0;
     for (int level = 0; level <= last; level++) {
@@ -32,7 +37,7 @@
     return sum;
   }
 
-  /** Tokens by level, without the zeros at the end. */
+  /** Returns the tokens by level, without the zeros at the end. */
   List<Long> toList() {
     int length = tokens.length;
     while (length > 0 && tokens[length - 1] == 0) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPart.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPart.java
@@ -1,9 +1,9 @@
 package org.fallturn.core.dispatch;
 
 /**
- * A part of a prompt that may be kept in an engine's KV cache.
+ * A part of a prompt that an engine may keep in its KV cache.
  *
- * @param id names the text of the part
- * @param tokens its length
+ * @param id identifies the text of the part
+ * @param tokens length of the part in tokens
  */
 public record PromptPart(String id, int tokens) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
@@ -23,25 +23,30 @@
 import org.fallturn.core.stages.StageView;
 
 /**
- * Watches the load of every model service and says which engine should take another stage. The
- * candidates watch, since views of all engines at every node cost more than most nodes do for their
- * requests; the one whose name is first among the candidates that are heard and that the store
- * serves acts, and the lease in the store keeps two that both believe they are first from ordering.
- * Only the dispatch thread calls.
+ * Watches the load of every model service and decides which engine should change to another stage.
+ *
+ * <p>Only candidate nodes watch, since views of all engines at each node would cost more than most
+ * nodes spend on their requests. Among the candidates that were heard recently and that the store
+ * serves, the one whose name comes first orders the changes. The lease in the store keeps two nodes
+ * that both consider themselves first from ordering. Only the dispatch thread calls it.
  */
 public final class StageControl {
 
-  /** Beyond the change itself: the order's way, and the way of the news through the store. */
-  private static final Duration NEWS_MARGIN = Duration.ofSeconds(4);
+  /**
+   * Time allowed beyond the change itself: the order has to reach the engine, and the new stage has
+   * to reach this node through the store.
+   */
+  private static final Duration CHANGE_MARGIN = Duration.ofSeconds(4);
 
-  /** An order without an answer may still be carried out for so long. */
-  private static final Duration UNANSWERED = Duration.ofSeconds(13);
+  /** How long an engine may still carry out an order that it has not answered. */
+  private static final Duration UNANSWERED_ORDER_TIME = Duration.ofSeconds(13);
 
   /**
-   * So long another node orders when the store does not answer this one. When the right goes back,
-   * nobody orders for the lease's term and quiet time, so that it should not go back soon. Judged.
+   * How long this node leaves the orders to another one after the store did not give it the lease.
+   * When the right to order returns, nobody orders for the term of the lease and its quiet time, so
+   * it should not return soon. This value is an estimate.
    */
-  private static final long NO_LEASE_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(20);
+  private static final long LEASE_DENIED_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(20);
 
   private final EngineSelector selector;
   private final PeerLoads peerLoads;
@@ -49,7 +54,7 @@
   private final String node;
   private final StageParameters parameters;
   private final Map<String, StagePlanner> planners = new HashMap<>();
-  private OptionalLong noLeaseNanos = OptionalLong.empty();
+  private OptionalLong leaseDeniedNanos = OptionalLong.empty();
   private boolean candidate = true;
 
   StageControl(
@@ -65,13 +70,13 @@
     this.parameters = parameters;
   }
 
-  /** The change that this node should order now, if any. */
+  /** Returns the change that this node should order now, if any. */
   Optional<StageChange> onTick(Collection<ServiceDefinition> services, long nowNanos) {
     selector.pruneChanging(nowNanos);
     if (!parameters.enabled() || !candidate) {
       return Optional.empty();
     }
-    boolean first = orders(nowNanos);
+    boolean first = isOrderingNode(nowNanos);
     Optional<StageChange> change = Optional.empty();
     for (ServiceDefinition service : services) {
       if (service.engine().isPresent()) {
@@ -89,10 +94,13 @@
     return change;
   }
 
-  /** What the planners go by, by service; empty at a node that orders nothing. */
+  /**
+   * Returns the figures on which the planners decide, by service; empty at a node that does not
+   * order changes.
+   */
   public Map<String, StageOutlook> outlooks(long nowNanos) {
     Map<String, StageOutlook> outlooks = new TreeMap<>();
-    if (orders(nowNanos)) {
+    if (isOrderingNode(nowNanos)) {
       planners.forEach(
           (service, planner) ->
               outlooks.put(service, planner.outlook(views(service, nowNanos), nowNanos)));
@@ -100,36 +108,40 @@
     return outlooks;
   }
 
-  private boolean orders(long nowNanos) {
+  private boolean isOrderingNode(long nowNanos) {
     return mayOrder(nowNanos) && peerLoads.isFirstByName(node, nowNanos);
   }
 
   /**
-   * Whether this node is the one that acts for all. Where all candidates have failed to, each of
-   * them tries again and the lease decides: a report that is late is worse than a call in vain.
+   * Returns whether this node acts for all nodes. If the store has refused all candidates, each of
+   * them tries again and the lease decides, since a late report is worse than a futile call.
    */
   public boolean leads(long nowNanos) {
-    return orders(nowNanos)
+    return isOrderingNode(nowNanos)
         || candidate && !isServed(nowNanos) && peerLoads.noPeerMayOrder(nowNanos);
   }
 
-  /** Says whether this node is one of the few that may order at all. */
+  /** Sets whether this node is one of the few that may order changes at all. */
   public void setCandidate(boolean isCandidate) {
     candidate = isCandidate;
   }
 
-  /** Whether nothing is known that keeps this node from ordering. */
+  /**
+   * Returns whether this node may order changes: it is a candidate, and the store has not recently
+   * refused it the lease.
+   */
   public boolean mayOrder(long nowNanos) {
     return candidate && isServed(nowNanos);
   }
 
   private boolean isServed(long nowNanos) {
-    return noLeaseNanos.isEmpty() || nowNanos - noLeaseNanos.getAsLong() >= NO_LEASE_PAUSE_NANOS;
+    return leaseDeniedNanos.isEmpty()
+        || nowNanos - leaseDeniedNanos.getAsLong() >= LEASE_DENIED_PAUSE_NANOS;
   }
 
-  /** The store did not give this node the lease, though it may serve others. */
+  /** Records that the store did not give this node the lease, though it may serve other nodes. */
   public void onLeaseDenied(long nowNanos) {
-    noLeaseNanos = OptionalLong.of(nowNanos);
+    leaseDeniedNanos = OptionalLong.of(nowNanos);
   }
 
   private StagePlanner planner(String service) {
@@ -160,23 +172,28 @@
   }
 
   /**
-   * The change is about to be ordered: no request goes there from now on.
+   * Records that a change is about to be ordered. From now on the engine gets no requests.
    *
-   * @param profile how long a change takes
+   * @param profile gives the time that a change takes
    */
   void begin(StageChange change, Optional<EngineProfile> profile, long nowNanos) {
-    Duration longest = profile.map(EngineProfile::roleSwitch).orElse(NEWS_MARGIN).plus(NEWS_MARGIN);
+    Duration longest =
+        profile.map(EngineProfile::roleSwitch).orElse(CHANGE_MARGIN).plus(CHANGE_MARGIN);
     selector.beginChange(change.engine(), change.stage(), nowNanos + longest.toNanos());
     planner(change.engine().service()).onOrdered(change.stage(), nowNanos);
   }
 
-  /** The order was not given, or refused. */
+  /** Records that the order was not given, or was refused. */
   public void abandon(StageChange change) {
     selector.endChange(change.engine());
   }
 
-  /** The order got no answer: whether and when the engine changes is not known for some time. */
+  /**
+   * Records that the order got no answer. For some time it is not known whether and when the engine
+   * changes.
+   */
   public void onUnanswered(StageChange change, long nowNanos) {
-    selector.beginChange(change.engine(), change.stage(), nowNanos + UNANSWERED.toNanos());
+    selector.beginChange(
+        change.engine(), change.stage(), nowNanos + UNANSWERED_ORDER_TIME.toNanos());
   }
 }
