--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
@@ -20,9 +20,10 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * Several dispatchers in front of engines that one content crashes some time into its run. An
- * engine that has crashed comes back under another id; nodes tell each other of crashes by messages
- * that are late and may be lost; a caller tries once more at another node. Time goes by steps.
+ * Simulates several dispatchers in front of engines, each of which crashes a while after it begins
+ * to run one certain content (the poison). A crashed engine comes back under another id. Nodes
+ * report crashes to each other in messages that are delayed and may be lost. A caller whose request
+ * fails tries once more at another node. Time advances in steps.
  */
 final class CrashingFleet {
 
@@ -30,13 +31,19 @@
 
   private static final int STEP_MILLIS = 5;
   private static final int TICK_MILLIS = 25;
-  private static final int TELL_MILLIS = 100;
-  private static final int CALLERS_TRIES = 2;
-
-  /** Where ids begin depends on the seed alone: equal costs are decided by them. */
-  private static final int IDS = 10_000;
-
-  /** Of the operators: within which every node knows what concerns all, from its start on. */
+  private static final int REPORT_MILLIS = 100;
+  private static final int MAX_TRIES = 2;
+
+  /**
+   * Number of possible first request ids. The first id depends on the seed alone, since ids decide
+   * between engines of equal cost.
+   */
+  private static final int FIRST_IDS = 10_000;
+
+  /**
+   * Bound set by the operators: within this time of its start, a node knows what concerns all
+   * nodes.
+   */
   static final long SETTLING_MILLIS = 3_000;
 
   private final Random random;
@@ -44,7 +51,7 @@
   private final List<Dispatcher> nodes = new ArrayList<>();
   private final List<ServingEngine> engines = new ArrayList<>();
   private final List<Run> runs = new ArrayList<>();
-  private final List<Later> later = new ArrayList<>();
+  private final List<ScheduledAction> scheduled = new ArrayList<>();
   private final Set<RequestFingerprint> stored = new HashSet<>();
   private final Map<RequestFingerprint, Set<String>> storedSuspects = new HashMap<>();
   private final List<Long> poisonSends = new ArrayList<>();
@@ -59,15 +66,15 @@
   private double brokenShare;
   private long millis;
 
-  /** A request at an engine until a moment. */
+  /** A request that runs at an engine until a given time. */
   private record Run(
       int node, RequestProgress progress, Decision decision, String body, int tries, long until) {}
 
-  /** Something that happens later. */
-  private record Later(long atMillis, Runnable action) {}
+  /** An action that is scheduled for a later time. */
+  private record ScheduledAction(long atMillis, Runnable action) {}
 
   CrashingFleet(long seed, int nodeCount, int engineCount) {
-    Requests.numberFrom(Math.floorMod(seed, IDS));
+    Requests.numberFrom(Math.floorMod(seed, FIRST_IDS));
     random = new Random(seed);
     lossShare = random.nextInt(3) * 0.1;
     for (int engine = 0; engine < engineCount; engine++) {
@@ -99,12 +106,15 @@
     return millis;
   }
 
-  /** When the poison was sent to an engine, in ms. */
+  /** Returns the times in ms at which the poison was sent to an engine. */
   List<Long> poisonSends() {
     return poisonSends;
   }
 
-  /** When it was sent by a node that had been running for as long as knowing may take, in ms. */
+  /**
+   * Returns the times in ms at which the poison was sent by a node that had been running for the
+   * settling time.
+   */
   List<Long> settledPoisonSends() {
     return settledPoisonSends;
   }
@@ -113,7 +123,7 @@
     return !startedAt.containsKey(node) || millis - startedAt.get(node) >= SETTLING_MILLIS;
   }
 
-  /** When engines crashed under the poison, in ms. */
+  /** Returns the times in ms at which engines crashed under the poison. */
   List<Long> poisonCrashes() {
     return poisonCrashes;
   }
@@ -122,12 +132,12 @@
     return innocentsHeldBack;
   }
 
-  /** How often a node came to hold something against a content. */
+  /** Returns how often a node began to suspect a content. */
   int suspicions() {
     return suspicions;
   }
 
-  /** From now on, so many of the answers break off while their engines go on. */
+  /** Lets a share of the answers break off from now on, while their engines go on. */
   void breakAnswers(double share) {
     brokenShare = share;
   }
@@ -136,22 +146,22 @@
     return innocentsAnswered;
   }
 
-  /** A request with a content of its own comes to some node. */
+  /** A request with a unique content arrives at a random node. */
   void innocentArrives() {
     arrive(random.nextInt(nodes.size()), "innocent-" + innocents++, 1);
   }
 
-  /** A copy of the poison comes to some node. */
+  /** A copy of the poison arrives at a random node. */
   void poisonArrives() {
     arrive(random.nextInt(nodes.size()), POISON, 1);
   }
 
   private void arrive(int node, String body, int tries) {
     RequestProgress progress = Requests.streamOf(body, now());
-    follow(node, progress, body, tries, nodes.get(node).start(progress, now()));
+    apply(node, progress, body, tries, nodes.get(node).start(progress, now()));
   }
 
-  private void follow(
+  private void apply(
       int node, RequestProgress progress, String body, int tries, Decision decision) {
     if (decision instanceof Decision.Run run) {
       boolean poison = body.equals(POISON);
@@ -161,32 +171,36 @@
           settledPoisonSends.add(millis);
         }
       }
-      long lasts = poison ? 20 + random.nextInt(100) : 30 + random.nextInt(200);
-      runs.add(new Run(node, progress, run, body, tries, millis + lasts));
+      long runMillis = poison ? 20 + random.nextInt(100) : 30 + random.nextInt(200);
+      runs.add(new Run(node, progress, run, body, tries, millis + runMillis));
       return;
     }
     if (decision instanceof Decision.Refuse refuse) {
       boolean heldBack = refuse.kind() == ErrorKind.QUARANTINED;
       innocentsHeldBack += heldBack && !body.equals(POISON) ? 1 : 0;
     }
-    if (tries < CALLERS_TRIES) {
-      in(10, () -> arrive(random.nextInt(nodes.size()), body, tries + 1));
+    if (tries < MAX_TRIES) {
+      schedule(10, () -> arrive(random.nextInt(nodes.size()), body, tries + 1));
     }
   }
 
-  /** Something that happens so many ms from now. */
-  void in(long afterMillis, Runnable action) {
-    later.add(new Later(millis + afterMillis, action));
+  /**
+   * Schedules an action.
+   *
+   * @param afterMillis time in ms from now
+   */
+  void schedule(long afterMillis, Runnable action) {
+    scheduled.add(new ScheduledAction(millis + afterMillis, action));
   }
 
-  /** Some engines end at the same moment. */
+  /** Ends some engines at the same moment. */
   void powerCut(int count) {
     for (int cut = 0; cut < count && engines.size() > 1; cut++) {
       crash(engines.get(random.nextInt(engines.size())));
     }
   }
 
-  /** Some of a node's connections break, while the engines go on. */
+  /** Breaks a share of one node's connections, while the engines go on. */
   void resetConnections(double share) {
     int node = random.nextInt(nodes.size());
     List.copyOf(runs).stream()
@@ -194,7 +208,7 @@
         .forEach(this::breakOff);
   }
 
-  /** A process ends and starts anew; what it had is lost. */
+  /** Restarts a node, which loses all that it knew. */
   void restart(int node) {
     runs.removeIf(run -> run.node == node);
     nodes.set(node, newNode());
@@ -214,8 +228,8 @@
   private void crash(ServingEngine engine) {
     List<Run> ended = runs.stream().filter(run -> engineOf(run).equals(engine.id())).toList();
     engines.remove(engine);
-    ended.forEach(run -> in(random.nextInt(3) * STEP_MILLIS, () -> breakOff(run)));
-    in(
+    ended.forEach(run -> schedule(random.nextInt(3) * STEP_MILLIS, () -> breakOff(run)));
+    schedule(
         300 + random.nextInt(3_700),
         () -> {
           engines.add(newEngine());
@@ -234,22 +248,23 @@
     AttemptOutcome outcome =
         random.nextBoolean() ? AttemptOutcome.LOST : AttemptOutcome.BROKEN_MIDWAY;
     Decision next = nodes.get(run.node).onFailure(run.progress, outcome, now());
-    follow(run.node, run.progress, run.body, run.tries, next);
+    apply(run.node, run.progress, run.body, run.tries, next);
   }
 
-  /** Lets a step of time go by. */
+  /** Advances the time by one step. */
   void step() {
     millis += STEP_MILLIS;
-    List<Later> due = later.stream().filter(thing -> thing.atMillis <= millis).toList();
-    later.removeAll(due);
-    due.forEach(thing -> thing.action.run());
+    List<ScheduledAction> due =
+        scheduled.stream().filter(entry -> entry.atMillis <= millis).toList();
+    scheduled.removeAll(due);
+    due.forEach(entry -> entry.action.run());
     List.copyOf(runs).stream().filter(run -> run.until <= millis).forEach(this::end);
     for (int node = 0; node < nodes.size(); node++) {
-      let(node);
+      runNode(node);
     }
   }
 
-  private void let(int node) {
+  private void runNode(int node) {
     Dispatcher dispatcher = nodes.get(node);
     if (millis % TICK_MILLIS == 0) {
       dispatcher.onTick(now());
@@ -258,7 +273,7 @@
       dispatcher.quarantine().takeReleased().forEach(this::removeFromStore);
     }
     for (String engineId : dispatcher.quarantine().takeProbes(now())) {
-      in(STEP_MILLIS * (1 + random.nextInt(2)), () -> probe(dispatcher, engineId));
+      schedule(STEP_MILLIS * (1 + random.nextInt(2)), () -> probe(dispatcher, engineId));
     }
     for (StandingChange change : dispatcher.quarantine().takeChanges()) {
       suspicions += change.standing() == Standing.CLEAR ? 0 : 1;
@@ -266,8 +281,8 @@
         takeBackCopies(node, change.content());
       }
     }
-    if (dispatcher.quarantine().takeNews() || millis % TELL_MILLIS == 0) {
-      tell(node);
+    if (dispatcher.quarantine().takeNews() || millis % REPORT_MILLIS == 0) {
+      report(node);
     }
   }
 
@@ -277,12 +292,15 @@
     }
   }
 
-  /** As a gateway does; the engine drops a request whose connection closes. */
+  /**
+   * Withdraws the node's copies of a suspected content, as a gateway does. The engine drops a
+   * request whose connection closes.
+   */
   private void takeBackCopies(int node, RequestFingerprint content) {
     for (Run run : List.copyOf(runs)) {
       if (run.node == node && run.progress.content().is(content) && runs.remove(run)) {
         Decision next = nodes.get(node).onFailure(run.progress, AttemptOutcome.WITHDRAWN, now());
-        follow(node, run.progress, run.body, run.tries, next);
+        apply(node, run.progress, run.body, run.tries, next);
       }
     }
   }
@@ -316,7 +334,7 @@
     }
   }
 
-  private void tell(int node) {
+  private void report(int node) {
     Dispatcher dispatcher = nodes.get(node);
     List<CrashReport> reports = dispatcher.quarantine().takeReports(false, now());
     LoadDigest load =
@@ -330,7 +348,7 @@
     for (int other = 0; other < nodes.size(); other++) {
       if (other != node && random.nextDouble() >= lossShare) {
         int target = other;
-        in(STEP_MILLIS * (1 + random.nextInt(8)), () -> hear(target, load, reports));
+        schedule(STEP_MILLIS * (1 + random.nextInt(8)), () -> hear(target, load, reports));
       }
     }
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
@@ -18,7 +18,10 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.junit.jupiter.api.Test;
 
-/** Engines take only so many requests a second from all nodes together. */
+/**
+ * Engines limit the requests per second that they take from all nodes together. The nodes must keep
+ * to the limit together, and send the rest to other engines.
+ */
 class EngineLimitsTest {
 
   private static final double LIMIT = 2;
@@ -32,12 +35,15 @@
     return Requests.START + TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  private static void names(Dispatcher dispatcher, ServingEngine engine, double perSecond) {
+  private static void announceLimit(Dispatcher dispatcher, ServingEngine engine, double perSecond) {
     EngineLimits limits = dispatcher.notices().limits();
     limits.onNamed(engine.id(), perSecond, Requests.START, Requests.START);
   }
 
-  /** One request every 20 ms, each answered at once; how many reached an engine. */
+  /**
+   * Starts one request every 20 ms, each answered at once, and returns how many of them reached an
+   * engine.
+   */
   private static int sentTo(ServingEngine engine, Dispatcher dispatcher, int seconds) {
     int sent = 0;
     for (long millis = 0; millis < seconds * 1_000L; millis += 20) {
@@ -55,19 +61,19 @@
   }
 
   @Test
-  void engineThatNamesALimitGetsNoMoreAndTheOthersServeTheRest() {
+  void engineWithALimitGetsNoMoreAndTheOthersServeTheRest() {
     Dispatcher dispatcher = Requests.dispatcher(limited, other);
     dispatcher.setNodeCount(OptionalInt.of(1));
-    names(dispatcher, limited, LIMIT);
+    announceLimit(dispatcher, limited, LIMIT);
     assertThat(sentTo(limited, dispatcher, 20)).isBetween(20, (int) (20 * LIMIT) + 2);
     assertThat(sentTo(other, dispatcher, 20)).isGreaterThan(900);
   }
 
   @Test
-  void limitBeyondReasonChangesNothing() {
+  void absurdlyHighLimitChangesNothing() {
     Dispatcher dispatcher = Requests.dispatcher(limited);
     dispatcher.setNodeCount(OptionalInt.of(338));
-    names(dispatcher, limited, 1e30);
+    announceLimit(dispatcher, limited, 1e30);
     dispatcher.fleet().ownLoads(after(0));
     dispatcher.fleet().ownLoads(after(100));
     int sent = 0;
@@ -81,18 +87,18 @@
   }
 
   @Test
-  void nodeThatHearsNoneOfTheOthersSendsItsPart() {
+  void nodeThatHearsNoOtherNodeSendsItsShare() {
     Dispatcher dispatcher = Requests.dispatcher(limited, other);
     dispatcher.setNodeCount(OptionalInt.of(8));
-    names(dispatcher, limited, LIMIT);
+    announceLimit(dispatcher, limited, LIMIT);
     assertThat(sentTo(limited, dispatcher, 20)).isBetween(2, (int) (20 * LIMIT / 8) + 2);
   }
 
   @Test
-  void callersAreToldWhenThereIsRoomWhereAllEnginesNameLimits() {
+  void refusalSaysWhenThereIsRoomWhereAllEnginesHaveLimits() {
     Dispatcher dispatcher = Requests.dispatcher(limited);
     dispatcher.setNodeCount(OptionalInt.of(1));
-    names(dispatcher, limited, LIMIT);
+    announceLimit(dispatcher, limited, LIMIT);
     sentTo(limited, dispatcher, 4);
     long now = after(4_000);
     while (dispatcher.notices().limits().tryTake(limited.id(), now)) {
@@ -107,7 +113,10 @@
         .isBetween(Duration.ofMillis(200), Duration.ofSeconds(5));
   }
 
-  /** What is read ahead would be read in vain, and the caller would be refused later. */
+  /**
+   * Guards against useless work: a prompt that no engine can run would be read by a prefill engine
+   * in vain, and its caller would be refused later.
+   */
   @Test
   void nothingIsReadAheadWhileNoEngineHasRoomToRunIt() {
     ServingEngine reads = Requests.engine("p-1", Requests.MODEL, EngineStage.PREFILL);
@@ -115,7 +124,7 @@
     Dispatcher dispatcher = Requests.dispatcher(reads, runs);
     RequestProgress before = Requests.prompt(false, 10_000, 5_000);
     assertThat(dispatcher.start(before, Requests.START)).isInstanceOf(Decision.Prefill.class);
-    names(dispatcher, runs, 0);
+    announceLimit(dispatcher, runs, 0);
     RequestProgress progress = Requests.prompt(false, 10_000, 5_000);
     Decision decision = dispatcher.start(progress, Requests.START);
     assertThat(((Decision.Refuse) decision).kind()).isEqualTo(ErrorKind.NO_CAPACITY);
@@ -123,12 +132,12 @@
   }
 
   @Test
-  void whatWasDecidedBeforeTheLimitWasNamedIsStoppedAndGoesElsewhere() {
+  void requestDecidedBeforeTheLimitWasAnnouncedGoesElsewhere() {
     Dispatcher dispatcher = Requests.dispatcher(limited, other);
     dispatcher.setNodeCount(OptionalInt.of(8));
     RequestProgress progress = Requests.applicationAt(Requests.START, RequestKind.IDEMPOTENT, 3);
     ServingEngine first = ((Decision.Run) dispatcher.start(progress, Requests.START)).engine();
-    names(dispatcher, first, 0);
+    announceLimit(dispatcher, first, 0);
     assertThat(dispatcher.notices().limits().tryTake(first.id(), after(1))).isFalse();
     Decision next = dispatcher.onFailure(progress, AttemptOutcome.HELD_BACK, after(1));
     assertThat(((Decision.Run) next).engine()).isNotEqualTo(first);
@@ -136,9 +145,9 @@
   }
 
   @Test
-  void laterStartOfAnEngineBeginsWithoutALimit() {
+  void restartedEngineBeginsWithoutALimit() {
     Dispatcher dispatcher = Requests.dispatcher(limited, other);
-    names(dispatcher, limited, 0);
+    announceLimit(dispatcher, limited, 0);
     ServingEngine again =
         Requests.engine(limited.id() + "@2", Requests.APPLICATION, EngineStage.NONE);
     dispatcher.setDirectory(EngineDirectory.of(2, List.of(again)), after(10));
@@ -147,16 +156,16 @@
   }
 
   @Test
-  void limitIsLearnedFromOthersAndToldOnWithThisNodesPart() {
+  void limitIsLearnedFromPeersAndReportedWithThisNodesShare() {
     Dispatcher dispatcher = Requests.dispatcher(limited, other);
-    EngineDigest told =
+    EngineDigest reported =
         new EngineDigest(0, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD)
             .withLimit(
                 new LimitDigest(
                     new RateDigest(1, 16, 0, 3), new LimitWord(LIMIT, 20, LimitWord.NEVER)));
     Requests.hear(
         dispatcher,
-        new LoadDigest("node-2", 1, 1, Map.of(limited.id(), told), List.of(), Map.of()),
+        new LoadDigest("node-2", 1, 1, Map.of(limited.id(), reported), List.of(), Map.of()),
         after(100));
     assertThat(dispatcher.takeLimitChanges())
         .containsExactly(
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineNoticesTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineNoticesTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Engines say in their answers that they leave or want rest. A node that reads neither uses an
- * engine that leaves for as long as the list does not change, and finds one that turns everything
- * away ever more attractive, since nothing runs there.
+ * Engines announce in their answers that they are leaving or want a rest. A node that ignores both
+ * keeps using a leaving engine until the directory changes, and prefers an engine that refuses
+ * everything, since nothing runs there.
  */
 class EngineNoticesTest {
 
-  /** Of the dispatchers of {@link Requests}. */
+  /** The time for which the dispatchers of {@link Requests} still use a leaving engine. */
   private static final Duration LAST_RESORT = Duration.ofMillis(1_400);
 
   private static final int STEPS = 600;
@@ -55,7 +55,7 @@
     return ((Decision.Run) decision).engine().id();
   }
 
-  private static Duration comeBack(Decision decision) {
+  private static Duration retryAfter(Decision decision) {
     Decision.Refuse refuse = (Decision.Refuse) decision;
     assertThat(refuse.kind()).isEqualTo(ErrorKind.NO_CAPACITY);
     return refuse.retryAfter().orElseThrow();
@@ -70,13 +70,13 @@
     dispatcher.notices().onRest(engine.id(), Duration.ofMillis(millis).toNanos(), now);
   }
 
-  /** What the model of the property knows of one engine. */
-  private static final class Said {
+  /** The notices of one engine in the model of the property. */
+  private static final class Notices {
     private final ServingEngine engine;
     private OptionalLong leavesSince = OptionalLong.empty();
     private long restEnd = Long.MIN_VALUE;
 
-    Said(ServingEngine engine) {
+    Notices(ServingEngine engine) {
       this.engine = engine;
     }
 
@@ -90,25 +90,26 @@
   }
 
   /**
-   * Whatever engines say and whenever: no request goes to one that rests, none to one that leaves
-   * while another is open or once the last resort is over, and each is sent while one is open.
+   * Whatever engines announce and whenever: no request goes to an engine that rests, none to a
+   * leaving engine while another is open or once its last resort is over, and each request is sent
+   * while an engine is open.
    */
   @Property(tries = 60)
   void whatEnginesSayIsKept(@ForAll long seed) {
     Random random = new Random(seed);
-    Map<String, Said> said = new HashMap<>();
+    Map<String, Notices> noticesById = new HashMap<>();
     for (int number = 0; number < 4; number++) {
       ServingEngine engine = Requests.engine("a-" + number, Requests.APPLICATION, EngineStage.NONE);
-      said.put(engine.id(), new Said(engine));
+      noticesById.put(engine.id(), new Notices(engine));
     }
     Dispatcher dispatcher =
         Requests.dispatcherWithoutWaits(
-            said.values().stream().map(known -> known.engine).toArray(ServingEngine[]::new));
+            noticesById.values().stream().map(known -> known.engine).toArray(ServingEngine[]::new));
     List<RequestProgress> present = new ArrayList<>();
     long now = Requests.START;
     for (int step = 0; step < STEPS; step++) {
       now += Duration.ofMillis(random.nextInt(MAX_STEP_MILLIS)).toNanos();
-      Said any = said.get("a-" + random.nextInt(said.size()));
+      Notices any = noticesById.get("a-" + random.nextInt(noticesById.size()));
       switch (random.nextInt(12)) {
         case 0 -> {
           int millis = random.nextInt(MAX_REST_MILLIS);
@@ -124,7 +125,7 @@
         case 2 ->
             dispatcher.setDirectory(
                 EngineDirectory.of(
-                    step, said.values().stream().map(known -> known.engine).toList()),
+                    step, noticesById.values().stream().map(known -> known.engine).toList()),
                 now);
         case 3, 4, 5 -> {
           if (!present.isEmpty()) {
@@ -134,7 +135,7 @@
         default -> {
           RequestProgress request = requestAt(now);
           Decision decision = dispatcher.start(request, now);
-          check(said, decision, now);
+          check(noticesById, decision, now);
           if (decision instanceof Decision.Run) {
             present.add(request);
           }
@@ -143,13 +144,13 @@
     }
   }
 
-  private static void check(Map<String, Said> said, Decision decision, long now) {
-    boolean anyOpen = said.values().stream().anyMatch(known -> known.open(now));
+  private static void check(Map<String, Notices> noticesById, Decision decision, long now) {
+    boolean anyOpen = noticesById.values().stream().anyMatch(known -> known.open(now));
     if (!(decision instanceof Decision.Run run)) {
       assertThat(anyOpen).as("refused while an engine was open").isFalse();
       return;
     }
-    Said chosen = said.get(run.engine().id());
+    Notices chosen = noticesById.get(run.engine().id());
     assertThat(chosen.rests(now)).as("sent to an engine that rests").isFalse();
     if (chosen.leavesSince.isPresent()) {
       assertThat(anyOpen).as("sent to an engine that leaves").isFalse();
@@ -158,7 +159,7 @@
   }
 
   @Test
-  void enginesThatAllLeaveAreALastResortForATime() {
+  void leavingEnginesAreALastResortForATime() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     leaves(dispatcher, appOne, after(10));
     leaves(dispatcher, appTwo, after(500));
@@ -168,7 +169,7 @@
   }
 
   @Test
-  void noEntryBringsAnEngineBackThatHasSaidThatItLeaves() {
+  void directoryEntryDoesNotBringALeavingEngineBack() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     leaves(dispatcher, appOne, after(10));
     dispatcher.setDirectory(EngineDirectory.of(2, List.of(appTwo)), after(20));
@@ -180,9 +181,9 @@
   }
 
   @Test
-  void aLaterStartOfTheSameEngineBeginsWithNothing() {
-    ServingEngine first = born(1);
-    ServingEngine second = born(2);
+  void restartedEngineBeginsWithoutNotices() {
+    ServingEngine first = engineStartedAt(1);
+    ServingEngine second = engineStartedAt(2);
     Dispatcher dispatcher = Requests.dispatcher(first);
     leaves(dispatcher, first, after(10));
     rests(dispatcher, first, 60_000, after(10));
@@ -190,7 +191,7 @@
     assertThat(engineOf(dispatcher.start(request(), after(30)))).isEqualTo(second.id());
   }
 
-  private ServingEngine born(long millis) {
+  private ServingEngine engineStartedAt(long millis) {
     return new ServingEngine(
         "a-9",
         OptionalLong.of(millis),
@@ -205,7 +206,7 @@
   }
 
   @Test
-  void nodeThatIsToldLeavesTheEngineAndTellsItOnUntilItsEntrySaysSo() {
+  void leavingEngineIsAvoidedAndReportedUntilItsEntrySaysSo() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     RequestProgress there = request();
     String used = engineOf(dispatcher.start(there, after(5)));
@@ -228,19 +229,22 @@
   }
 
   @Test
-  void callersAreToldWhenTheFirstEngineIsBack() {
+  void refusalSaysWhenTheFirstRestEnds() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     rests(dispatcher, appOne, 3_000, after(0));
     rests(dispatcher, appTwo, 2_000, after(0));
-    Duration first = comeBack(dispatcher.start(request(), after(500)));
+    Duration first = retryAfter(dispatcher.start(request(), after(500)));
     assertThat(first).isBetween(Duration.ofMillis(1_500), Duration.ofMillis(1_900));
     assertThat(engineOf(dispatcher.start(request(), after(500 + first.toMillis() + 1))))
         .isEqualTo("a-2");
   }
 
-  /** All that come back at once would be turned away together, each at the cost of a repeat. */
+  /**
+   * Guards against a burst at the end of a rest: if all requests came back at once, the engine
+   * would refuse them together, and each would need a repeat.
+   */
   @Test
-  void oneRequestTellsWhetherARestHasEnded() {
+  void oneRequestProbesWhetherARestHasEnded() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     rests(dispatcher, appOne, 1_000, after(0));
     RequestProgress first = request();
@@ -264,7 +268,10 @@
     return request.engine().filter(engine -> engine.id().equals(engineId)).isPresent();
   }
 
-  /** What waited for a connection meanwhile goes elsewhere, and nobody is blamed. */
+  /**
+   * A request that waited for a connection while its engine began to rest goes to another engine,
+   * and the engine is not blamed.
+   */
   @Test
   void requestThatWasHeldBackIsSentElsewhereWithoutARepeat() {
     Dispatcher dispatcher = Requests.dispatcher(0, appOne, appTwo);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What is known of an engine's pace, in the decisions of one node. */
+/**
+ * A node has to send fewer requests to engines that work slower than usual. It learns this from the
+ * engines themselves and from other nodes.
+ */
 class PaceInDispatchTest {
 
   private static final int REQUESTS = 12;
@@ -29,7 +32,7 @@
   private final ServingEngine decoder = Requests.engine("d-1", Requests.MODEL, EngineStage.DECODE);
 
   @BeforeEach
-  void sameNames() {
+  void resetRequestNumbers() {
     Requests.numberFrom(1);
   }
 
@@ -41,7 +44,7 @@
     return new ServerLoad(1, 0, 8, OptionalInt.of(percent));
   }
 
-  /** Requests that stay, of which so many go to the first engine. */
+  /** Starts requests that do not end, and returns how many of them go to the first engine. */
   private long sentToFirst(Dispatcher dispatcher, long nowNanos) {
     long sent = 0;
     for (int request = 0; request < REQUESTS; request++) {
@@ -52,49 +55,52 @@
     return sent;
   }
 
-  private static void tell(Dispatcher dispatcher, int sequence, long nowNanos) {
+  private static void reportSlowEngine(Dispatcher dispatcher, int sequence, long nowNanos) {
     EngineDigest digest =
         new EngineDigest(0, 0, List.of(), 0, 0, 10).withPace(PaceWord.of(300, 40));
-    LoadDigest told =
+    LoadDigest reported =
         new LoadDigest("node-2", 1, sequence, Map.of("a-1", digest), List.of(), Map.of());
-    Requests.hear(dispatcher, told, nowNanos);
+    Requests.hear(dispatcher, reported, nowNanos);
   }
 
   @Test
-  void engineThatSaysThatItIsSlowGetsFewer() {
+  void engineThatReportsASlowPaceGetsFewerRequests() {
     Dispatcher dispatcher = Requests.dispatcher(first, second);
     dispatcher.notices().reportedLoads().onLoadReported("a-1", paceOf(300), START);
     assertThat(sentToFirst(dispatcher, START)).isLessThanOrEqualTo(REQUESTS / 3);
   }
 
   @Test
-  void engineThatOthersFindSlowGetsFewerUntilTheyFallSilent() {
-    Dispatcher told = Requests.dispatcher(first, second);
-    Dispatcher silent = Requests.dispatcher(first, second);
+  void engineThatPeersReportAsSlowGetsFewerRequestsUntilTheyStop() {
+    Dispatcher peersReporting = Requests.dispatcher(first, second);
+    Dispatcher peersSilent = Requests.dispatcher(first, second);
     for (int turn = 0; turn < 40; turn++) {
-      for (Dispatcher dispatcher : List.of(told, silent)) {
-        tell(dispatcher, turn, after(100L * turn));
+      for (Dispatcher dispatcher : List.of(peersReporting, peersSilent)) {
+        reportSlowEngine(dispatcher, turn, after(100L * turn));
         dispatcher.onTick(after(100L * turn));
       }
     }
-    assertThat(sentToFirst(told, after(3_950))).isLessThanOrEqualTo(REQUESTS / 3);
-    silent.setDirectory(EngineDirectory.of(2, List.of(second)), after(4_000));
-    silent.setDirectory(EngineDirectory.of(3, List.of(first, second)), after(7_000));
-    assertThat(sentToFirst(silent, after(7_000))).isEqualTo(REQUESTS / 2);
+    assertThat(sentToFirst(peersReporting, after(3_950))).isLessThanOrEqualTo(REQUESTS / 3);
+    peersSilent.setDirectory(EngineDirectory.of(2, List.of(second)), after(4_000));
+    peersSilent.setDirectory(EngineDirectory.of(3, List.of(first, second)), after(7_000));
+    assertThat(sentToFirst(peersSilent, after(7_000))).isEqualTo(REQUESTS / 2);
   }
 
   @Test
-  void nothingIsGoneByWhereNothingIsLearned() {
+  void paceIsIgnoredWhereItIsNotLearned() {
     Dispatcher dispatcher = Requests.dispatcher(1_000, false, first, second);
     dispatcher.notices().reportedLoads().onLoadReported("a-1", paceOf(300), START);
-    tell(dispatcher, 1, START);
+    reportSlowEngine(dispatcher, 1, START);
     dispatcher.onTick(after(50));
     assertThat(sentToFirst(dispatcher, after(60))).isEqualTo(REQUESTS / 2);
   }
 
-  /** An engine that reads three times slower than usual was taken for silent while it read. */
+  /**
+   * Guards against suspending a slow engine: one that reads three times slower than usual was taken
+   * for silent while it read.
+   */
   @Test
-  void slowEngineIsNotTakenForDead() {
+  void slowEngineIsNotTakenForSilent() {
     assertThat(suspendsSlowReader(true)).isFalse();
     assertThat(suspendsSlowReader(false)).isTrue();
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PeerLoadsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PeerLoadsTest.java
@@ -6,6 +6,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
+/** A node to which no other node reports has to report its own load unchanged. */
 class PeerLoadsTest {
 
   private static final long NOW = 1_000_000_000L;
@@ -16,7 +17,7 @@
   }
 
   @Test
-  void nodeWithoutMembersTellsItsOwnDigestAsItIs() {
+  void groupOfANodeWithoutMembersIsItsOwnDigest() {
     LoadDigest own = own();
     assertThat(new PeerLoads().group(own, NOW)).isSameAs(own);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillFleet.java
@@ -13,22 +13,23 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * Several dispatchers in front of engines that read prompts at a pace, one after the other: the
- * most urgent and earliest is taken next, and one that is being read is not set aside. An engine
- * says something only when it has read a prompt. Time goes by steps.
+ * Simulates several dispatchers in front of engines that read prompts one after the other at a
+ * given speed. An engine takes the most urgent prompt next, and the earliest among equals. It does
+ * not interrupt a prompt that it reads, and sends nothing until it has read one. Time advances in
+ * steps.
  */
 final class PrefillFleet {
 
   private static final int STEP_MILLIS = 5;
 
-  /** As often as a gateway looks at its requests. */
+  /** Interval in ms at which a gateway checks its requests. */
   private static final int TICK_MILLIS = 25;
 
-  /** As often as nodes tell each other what they have at the engines. */
-  private static final int TELL_MILLIS = 100;
+  /** Interval in ms at which nodes report their load at the engines to each other. */
+  private static final int REPORT_MILLIS = 100;
 
-  /** A decode engine reads at half the pace. */
-  private static final double DECODE_SHARE = 0.5;
+  /** Speed of a decode engine relative to a prefill engine. */
+  private static final double DECODE_SPEED_RATIO = 0.5;
 
   private final List<Dispatcher> nodes = new ArrayList<>();
   private final Map<String, ReadingEngine> engines = new LinkedHashMap<>();
@@ -38,8 +39,8 @@
   private final List<Decision.Refuse> refusals = new ArrayList<>();
   private final List<Double> beginMillis = new ArrayList<>();
   private int answered;
-  private int tellMillis = TELL_MILLIS;
-  private int sequence;
+  private int reportMillis = REPORT_MILLIS;
+  private int arrivalNumber;
   private long millis;
 
   PrefillFleet(int nodeCount, double tokensPerMilli, ServingEngine... served) {
@@ -60,12 +61,12 @@
     return Requests.START + TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  /** Attempts that were given up, by reason. */
+  /** Returns how many attempts were given up, by reason. */
   Map<StuckReason, Integer> stuck() {
     return stuck;
   }
 
-  /** Engines as they were suspended, by any node. */
+  /** Returns the ids of suspended engines, one for each suspension by a node. */
   List<String> suspended() {
     return suspended;
   }
@@ -74,32 +75,32 @@
     return refusals;
   }
 
-  /** How long requests took to begin to be answered. */
+  /** Returns the times in ms from the arrival of requests to the begin of their answers. */
   List<Double> beginMillis() {
     return beginMillis;
   }
 
-  /** Nodes tell each other at once what they place. */
-  void tellAtOnce() {
-    tellMillis = STEP_MILLIS;
+  /** Lets the nodes report at each step, so that placed prompts are known at once. */
+  void reportAtOnce() {
+    reportMillis = STEP_MILLIS;
   }
 
-  /** Work takes so many times as long at an engine from now on. */
-  void slow(String engineId, double factor) {
+  /** Sets the factor by which work at an engine takes longer from now on. */
+  void setSlowness(String engineId, double factor) {
     engines.get(engineId).slowness = factor;
   }
 
-  /** What a node believes of an engine's pace. */
+  /** Returns the factor by which a node expects an engine to be slower than usual. */
   double slowness(int node, String engineId) {
     return nodes.get(node).slowness(engineId, now());
   }
 
-  /** Requests whose answer has begun. */
+  /** Returns the number of requests whose answers have begun. */
   int answered() {
     return answered;
   }
 
-  /** Requests that have waited at an engine for longer than a time. */
+  /** Returns the number of requests that have waited at an engine for longer than a time. */
   long waitingAt(String engineId, int longerThanMillis) {
     long before = now() - TimeUnit.MILLISECONDS.toNanos(longerThanMillis);
     return active.stream()
@@ -109,36 +110,36 @@
         .count();
   }
 
-  /** The engine answers nobody from now on. */
-  void goDark(String engineId) {
-    engines.get(engineId).dark = true;
+  /** Stops an engine from answering any node. */
+  void stopAnswering(String engineId) {
+    engines.get(engineId).silent = true;
   }
 
-  /** The engine answers again; what it had is lost. */
-  void comeBack(String engineId) {
-    engines.get(engineId).dark = false;
+  /** Lets an engine answer again; it has lost its prompts. */
+  void resumeAnswering(String engineId) {
+    engines.get(engineId).silent = false;
     engines.get(engineId).queue.clear();
   }
 
-  /** How many nodes warn the others of an engine. */
-  long warningsOf(String engineId) {
+  /** Returns how many nodes warn the others of an engine. */
+  long nodesWarningOf(String engineId) {
     return nodes.stream()
         .map(node -> node.fleet().ownLoads(now()).get(engineId))
         .filter(digest -> digest != null && digest.suspecting() > 0)
         .count();
   }
 
-  /** How many prompts were sent to an engine so far. */
+  /** Returns how many prompts were sent to an engine so far. */
   int sentTo(String engineId) {
     return engines.get(engineId).sent;
   }
 
-  /** A request comes to a node. */
+  /** A request arrives at a node. */
   void arrive(int node, RequestProgress progress) {
-    follow(node, progress, nodes.get(node).start(progress, now()));
+    apply(node, progress, nodes.get(node).start(progress, now()));
   }
 
-  private void follow(int node, RequestProgress progress, Decision decision) {
+  private void apply(int node, RequestProgress progress, Decision decision) {
     if (decision instanceof Decision.Prefill prefill) {
       send(node, progress, prefill.engine(), prefill.expectation(), prefill.urgency(), decision);
     } else if (decision instanceof Decision.Run run) {
@@ -161,10 +162,10 @@
     active.get(node).put(progress, decision);
     engines
         .get(engine.id())
-        .add(new Job(node, progress, decision, urgency, sequence++, expectation.readTokens()));
+        .add(new Job(node, progress, decision, urgency, arrivalNumber++, expectation.readTokens()));
   }
 
-  /** Lets a step of time go by. */
+  /** Advances the time by one step. */
   void step() {
     millis += STEP_MILLIS;
     engines.values().forEach(this::work);
@@ -173,22 +174,22 @@
         tick(node);
       }
     }
-    if (millis % tellMillis == 0) {
-      tell();
+    if (millis % reportMillis == 0) {
+      report();
     }
   }
 
   private void work(ReadingEngine engine) {
-    double left = engine.dark ? 0 : engine.tokensPerMilli / engine.slowness * STEP_MILLIS;
-    while (left > 0 && !engine.queue.isEmpty()) {
+    double tokensLeft = engine.silent ? 0 : engine.tokensPerMilli / engine.slowness * STEP_MILLIS;
+    while (tokensLeft > 0 && !engine.queue.isEmpty()) {
       Job job = engine.next();
-      if (!current(job)) {
+      if (!isCurrent(job)) {
         engine.queue.remove(job);
         continue;
       }
-      double read = Math.min(left, job.tokens);
+      double read = Math.min(tokensLeft, job.tokens);
       job.tokens -= read;
-      left -= read;
+      tokensLeft -= read;
       if (job.tokens <= 0) {
         engine.queue.remove(job);
         onRead(job);
@@ -196,14 +197,14 @@
     }
   }
 
-  private boolean current(Job job) {
+  private boolean isCurrent(Job job) {
     return active.get(job.node).get(job.progress) == job.decision;
   }
 
   private void onRead(Job job) {
     Dispatcher dispatcher = nodes.get(job.node);
     if (job.decision instanceof Decision.Prefill) {
-      follow(job.node, job.progress, dispatcher.onPrefilled(job.progress, "h", now()));
+      apply(job.node, job.progress, dispatcher.onPrefilled(job.progress, "h", now()));
       return;
     }
     answered++;
@@ -236,7 +237,7 @@
     if (reason.isPresent()) {
       stuck.merge(reason.get(), 1, Integer::sum);
       Decision next = nodes.get(node).onFailure(progress, reason.get().outcome(patience), now());
-      follow(node, progress, next);
+      apply(node, progress, next);
     }
   }
 
@@ -246,7 +247,7 @@
         : ((Decision.Run) decision).patience();
   }
 
-  private void tell() {
+  private void report() {
     List<LoadDigest> digests = new ArrayList<>();
     for (int node = 0; node < nodes.size(); node++) {
       Dispatcher dispatcher = nodes.get(node);
@@ -275,15 +276,15 @@
     private final PriorityQueue<Job> queue =
         new PriorityQueue<>(
             Comparator.comparingInt((Job job) -> job.urgency)
-                .thenComparingInt(job -> job.sequence));
-    private boolean dark;
+                .thenComparingInt(job -> job.arrivalNumber));
+    private boolean silent;
     private double slowness = 1;
     private int sent;
     private Job reading;
 
     ReadingEngine(ServingEngine engine, double tokensPerMilli) {
       boolean decodes = engine.stage() == EngineStage.DECODE;
-      this.tokensPerMilli = decodes ? DECODE_SHARE * tokensPerMilli : tokensPerMilli;
+      this.tokensPerMilli = decodes ? DECODE_SPEED_RATIO * tokensPerMilli : tokensPerMilli;
     }
 
     private void add(Job job) {
@@ -291,7 +292,7 @@
       queue.add(job);
     }
 
-    /** What is being read, else what is to be read next. */
+    /** Returns the prompt that is being read, or else the next one to read. */
     private Job next() {
       reading = queue.contains(reading) ? reading : queue.peek();
       return reading;
@@ -305,7 +306,7 @@
     private final RequestProgress progress;
     private final Decision decision;
     private final int urgency;
-    private final int sequence;
+    private final int arrivalNumber;
     private double tokens;
 
     Job(
@@ -313,13 +314,13 @@
         RequestProgress progress,
         Decision decision,
         int urgency,
-        int sequence,
+        int arrivalNumber,
         double tokens) {
       this.node = node;
       this.progress = progress;
       this.decision = decision;
       this.urgency = urgency;
-      this.sequence = sequence;
+      this.arrivalNumber = arrivalNumber;
       this.tokens = tokens;
     }
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillSpeedTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillSpeedTest.java
@@ -5,14 +5,21 @@
 
 import org.junit.jupiter.api.Test;
 
+/**
+ * The learned speed must follow the engines. Delays that are not reading, such as calls of a busy
+ * node and prompts that waited, must not make engines seem slow.
+ */
 class PrefillSpeedTest {
 
-  private static final double GUESS = 40;
+  private static final double ASSUMED_SPEED = 40;
 
-  /** Else a node whose calls take long sends every prompt to decode engines. */
+  /**
+   * Guards against sending every prompt to decode engines: a node whose calls take long must not
+   * attribute their overhead to the prefill engines.
+   */
   @Test
-  void overheadOfACallDoesNotSpeakAgainstReadingAhead() {
-    PrefillSpeed speed = new PrefillSpeed(GUESS);
+  void overheadOfACallDoesNotFavorDecodeEngines() {
+    PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
     for (int tokens = 2_000; tokens < 20_000; tokens += 1_000) {
       speed.observe(0, tokens, 200 + tokens / 61.0);
     }
@@ -21,8 +28,8 @@
   }
 
   @Test
-  void samplesThatABusyNodeTimedLateAreForgottenSoon() {
-    PrefillSpeed speed = new PrefillSpeed(GUESS);
+  void samplesThatABusyNodeTimedTooLateSoonLoseWeight() {
+    PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
     speed.observe(0, 3_000, 400);
     speed.observe(0, 9_000, 260);
     for (int sample = 0; sample < 15; sample++) {
@@ -31,20 +38,20 @@
     assertThat(speed.tokenMillis()).isBetween(1 / 80.0, 1 / 50.0);
   }
 
-  /** What a node that was just told a speed tells others is not a guess of its own. */
+  /** A speed that was taken over from another node counts as known. */
   @Test
-  void whatWasToldIsTakenOnceAndOnlyByANodeThatHasSeenLittle() {
-    PrefillSpeed started = new PrefillSpeed(GUESS);
+  void speedOfAnotherNodeIsTakenOverOnceAndOnlyWithFewSamples() {
+    PrefillSpeed started = new PrefillSpeed(ASSUMED_SPEED);
     started.onPeerReport(new LearnedSpeed(0.005));
     started.onPeerReport(new LearnedSpeed(0.5));
     assertThat(started.tokenMillis()).isCloseTo(0.005, within(1e-9));
     assertThat(started.isKnown()).isTrue();
   }
 
-  /** In a fleet under load most prompts wait, some of them behind what is not known yet. */
+  /** Under load most prompts wait, some of them behind prompts that are not known yet. */
   @Test
   void promptsThatWaitedDoNotMakeEnginesSeemSlow() {
-    PrefillSpeed speed = new PrefillSpeed(GUESS);
+    PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
     for (int sample = 0; sample < 100; sample++) {
       speed.observe(20_000, 5_000, 900);
       speed.observe(0, 5_000, sample % 4 == 0 ? 100 : 400);
@@ -54,7 +61,7 @@
 
   @Test
   void learnsWithinAFewSamples() {
-    PrefillSpeed speed = new PrefillSpeed(GUESS);
+    PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
     assertThat(speed.isKnown()).isFalse();
     for (int tokens = 2_000; tokens < 14_000; tokens += 1_000) {
       speed.observe(0, tokens, 5 + tokens / 300.0);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefixCacheEstimatesTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefixCacheEstimatesTest.java
@@ -6,6 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * The estimate of an engine's cache has to follow what the engine reads, evicts and lists. A wrong
+ * estimate sends a prompt to an engine that has to read all of it again.
+ */
 class PrefixCacheEstimatesTest {
 
   private static final long CAPACITY = 1_000;
@@ -17,7 +21,7 @@
   }
 
   @Test
-  void partIsCountedOnlyWhenThoseBeforeItAreKept() {
+  void partCountsOnlyIfThePartsBeforeItAreCached() {
     parts.record("e", CAPACITY, List.of(part("b", 50)), 0);
     assertThat(parts.cachedTokens("e", List.of(part("a", 30), part("b", 50)))).isZero();
     parts.record("e", CAPACITY, List.of(part("a", 30)), 0);
@@ -25,7 +29,7 @@
   }
 
   @Test
-  void partThatIsKeptInPartCountsAsFarAsItIsKept() {
+  void partlyCachedPartCountsAsFarAsItIsCached() {
     parts.record("e", CAPACITY, List.of(part("a", 20), part("b", 50)), 0);
     assertThat(parts.cachedTokens("e", List.of(part("a", 30), part("b", 50)))).isEqualTo(20);
     parts.record("e", CAPACITY, List.of(part("a", 30)), 0);
@@ -33,7 +37,7 @@
   }
 
   @Test
-  void leastRecentlyUsedPartsGiveWay() {
+  void leastRecentlyUsedPartsAreEvicted() {
     parts.record("e", CAPACITY, List.of(part("a", 400)), 0);
     parts.record("e", CAPACITY, List.of(part("b", 400)), 0);
     parts.record("e", CAPACITY, List.of(part("a", 400)), 0);
@@ -43,7 +47,7 @@
   }
 
   @Test
-  void listOfTheEngineReplacesWhatWasBelieved() {
+  void listingOfTheEngineReplacesTheEstimate() {
     long asked = Duration.ofSeconds(60).toNanos();
     parts.record("e", CAPACITY, List.of(part("gone", 10)), 0);
     parts.record("e", CAPACITY, List.of(part("kept", 20)), 0);
@@ -56,7 +60,7 @@
   }
 
   @Test
-  void partThatOnlyTheListToldGivesWayFirst() {
+  void partKnownOnlyFromTheListingIsEvictedFirst() {
     parts.record("e", CAPACITY, List.of(part("used", 400)), 0);
     parts.replace("e", List.of(part("used", 400), part("listed", 400)), 0, 1);
     parts.record("e", CAPACITY, List.of(part("new", 400)), 2);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/QuarantineFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/QuarantineFleetTest.java
@@ -11,21 +11,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * One content crashes every engine that runs it, and comes in rounds of several copies at once,
- * while power is cut, connections are reset and nodes start anew. In the record of the fault it
- * ended 23 engines in four rounds; here no node may send it on once the bound on knowing has passed
- * since the third crash, and no request beside it may be taken for it. A node that has just started
- * knows nothing yet: the bound runs from its start, too. In all 59 of 120 runs of two seeds in
- * which sends were counted as too late, a lone node had been started less than that before each of
- * them.
+ * One request content (the poison) crashes every engine that runs it. It arrives in rounds of
+ * several copies at once, while engines lose power, connections are reset and nodes restart.
+ * Without protection it crashed 23 engines in four rounds.
+ *
+ * <p>No node may send the poison once the settling time has passed since the third crash, and no
+ * other request may be taken for it. A node that has just started knows nothing yet, so the
+ * settling time also counts from its start: in the 59 of 120 runs with two seeds in which sends
+ * counted as too late, a lone node had started less than the settling time before each of them.
  */
 class QuarantineFleetTest {
 
-  private static final long LASTS_MILLIS = 9_000;
+  private static final long PLAYED_MILLIS = 9_000;
   private static final long ROUND_MILLIS = 4_000;
   private static final int CRASHES_TOLERATED = 3;
   private static final int SENDS_TOLERATED = 3;
-  private static final int MOST_COPIES = 4;
+  private static final int MAX_COPIES = 4;
 
   @Property(tries = 30, seed = "20261202")
   void poisonIsHeldBackAndNothingElse(
@@ -46,16 +47,16 @@
   }
 
   /**
-   * Of a day on which engines broke off some of their answers, 23 contents came into quarantine and
-   * two requests were refused for it: a broken connection was taken for a crash until the engine
-   * was heard again half a second later.
+   * Guards against taking a broken connection for a crash until the engine was heard again half a
+   * second later. On a day on which engines broke off some of their answers, this put 23 contents
+   * into quarantine and two requests were refused.
    */
   @Property(tries = 8, seed = "20261202")
   void enginesThatBreakOffAnswersBringNobodyUnderSuspicion(
       @ForAll @IntRange(min = 1, max = 9) int nodes, @ForAll long seed) {
     CrashingFleet fleet = new CrashingFleet(seed, nodes, 13);
     fleet.breakAnswers(0.4);
-    while (fleet.millis() < LASTS_MILLIS) {
+    while (fleet.millis() < PLAYED_MILLIS) {
       if (fleet.millis() % 10 == 0) {
         fleet.innocentArrives();
       }
@@ -77,8 +78,8 @@
   }
 
   /**
-   * A lone node that is restarted loses what it suspects and nobody tells it, so that the crashes
-   * count anew: 6 of some 750 such runs had 4 to 6 sends that came too late.
+   * A lone node that restarts loses its suspicions, and no other node reports them to it, so that
+   * it counts the crashes anew. In 6 of some 750 such runs, 4 to 6 sends came too late.
    */
   @ParameterizedTest
   @ValueSource(
@@ -107,23 +108,23 @@
   }
 
   private static void play(CrashingFleet fleet, Random random, boolean poison) {
-    while (fleet.millis() < LASTS_MILLIS) {
+    while (fleet.millis() < PLAYED_MILLIS) {
       if (random.nextInt(2) == 0) {
         fleet.innocentArrives();
       }
       if (poison && fleet.millis() % ROUND_MILLIS == 0) {
-        int copies = 1 + random.nextInt(MOST_COPIES);
+        int copies = 1 + random.nextInt(MAX_COPIES);
         for (int copy = 0; copy < copies; copy++) {
-          fleet.in(random.nextInt(300), fleet::poisonArrives);
+          fleet.schedule(random.nextInt(300), fleet::poisonArrives);
         }
       }
-      trouble(fleet, random);
+      injectFault(fleet, random);
       fleet.step();
     }
   }
 
-  /** About one a second. */
-  private static void trouble(CrashingFleet fleet, Random random) {
+  /** Injects about one fault per second. */
+  private static void injectFault(CrashingFleet fleet, Random random) {
     switch (random.nextInt(600)) {
       case 0 -> fleet.powerCut(1 + random.nextInt(4));
       case 1 -> fleet.resetConnections(0.5);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ReadingPaceTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ReadingPaceTest.java
@@ -10,8 +10,9 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * How long an engine may say nothing follows from its pace and from the prompts that wait there: at
- * any reading speed, an engine that works is left alone, and one that goes dark is left soon.
+ * How long an engine may be silent follows from its speed and from the prompts that wait there. At
+ * any reading speed, an engine that works must not be suspended, and the requests at an engine that
+ * stops answering must soon go to other engines.
  */
 class ReadingPaceTest {
 
@@ -22,13 +23,22 @@
   private static final int LONGEST_PROMPT = 53_000;
   private static final int SHORTEST_LONG_PROMPT = 2_000;
 
-  /** Beside the reading of the longest prompt, and once more for a prompt that came after it. */
+  /**
+   * Maximum time in ms that a request waits at a silent engine, beyond the time to read the longest
+   * prompt twice: once itself, and once more for a prompt that came after it.
+   */
   private static final int LEFT_WITHIN_MILLIS = 1_000;
 
-  /** The longest suspension, and the longest reading of a prompt that tries the engine. */
+  /**
+   * Maximum time in ms until an engine that answers again is used: the longest suspension, and the
+   * longest time to read the prompt that probes the engine.
+   */
   private static final int USED_AGAIN_WITHIN_MILLIS = 6_500;
 
-  /** At a lower load engines that did not fail are preferred for some time. */
+  /**
+   * Load in percent from which every engine is needed. At a lower load, engines that did not fail
+   * are preferred for some time.
+   */
   private static final int BUSY_PERCENT = 80;
 
   private final Random random = new Random();
@@ -51,17 +61,17 @@
     arrivalsPerStep = loadPercent / 100.0 * readPerStep / meanTokens;
   }
 
-  private double meanOf(boolean longOne) {
+  private double meanOf(boolean isLong) {
     Random sample = new Random(1);
     double sum = 0;
     for (int draw = 0; draw < 1_000; draw++) {
-      sum += tokens(longOne, sample) / 1_000.0;
+      sum += tokens(isLong, sample) / 1_000.0;
     }
     return sum;
   }
 
-  private static int tokens(boolean longOne, Random random) {
-    if (!longOne) {
+  private static int tokens(boolean isLong, Random random) {
+    if (!isLong) {
       return 50 + random.nextInt(750);
     }
     double factor = (double) LONGEST_PROMPT / SHORTEST_LONG_PROMPT;
@@ -104,8 +114,8 @@
   }
 
   /**
-   * With this seed a prompt still waits at an engine that went dark when it should long have been
-   * left. Why is not traced.
+   * Known failure: with this seed a prompt still waits at an engine that has stopped answering,
+   * long after it should have gone to another engine. The cause is not known.
    */
   @Property(tries = 30, seed = "177")
   void engineThatGoesDarkIsLeftSoonWithAnotherSeed(
@@ -118,20 +128,20 @@
   }
 
   private void leaveDarkEngine(int tokensPerMilli) {
-    int darkAt = 2_000 + random.nextInt(2_000);
+    int silentAt = 2_000 + random.nextInt(2_000);
     int leftWithin = LEFT_WITHIN_MILLIS + 2 * LONGEST_PROMPT / tokensPerMilli;
     for (int millis = 0; millis < PLAYED_MILLIS; millis += STEP_MILLIS) {
-      if (millis - darkAt >= 0 && millis - darkAt < STEP_MILLIS) {
-        fleet.goDark("p-0");
+      if (millis - silentAt >= 0 && millis - silentAt < STEP_MILLIS) {
+        fleet.stopAnswering("p-0");
       }
       step();
-      if (millis - darkAt > leftWithin) {
+      if (millis - silentAt > leftWithin) {
         assertThat(fleet.waitingAt("p-0", leftWithin)).as("waiting at %d ms", millis).isZero();
       }
     }
   }
 
-  /** Nodes that all avoid an engine must not wait for each other to try it again. */
+  /** Guards against nodes that all avoid an engine and wait for each other to try it again. */
   @Property(tries = 30, seed = "20261205")
   void engineThatComesBackIsUsedAgain(
       @ForAll @IntRange(min = 30, max = 400) int tokensPerMilli,
@@ -140,13 +150,13 @@
       @ForAll long seed) {
     begin(tokensPerMilli, loadPercent, longPercent, seed);
     play(2_000);
-    fleet.goDark("p-0");
+    fleet.stopAnswering("p-0");
     play(4_000);
-    fleet.comeBack("p-0");
+    fleet.resumeAnswering("p-0");
     play(USED_AGAIN_WITHIN_MILLIS);
     int sentBefore = fleet.sentTo("p-0");
     play(4_000);
-    assertThat(fleet.warningsOf("p-0")).as("nodes that warn of it").isZero();
+    assertThat(fleet.nodesWarningOf("p-0")).as("nodes that warn of it").isZero();
     if (loadPercent >= BUSY_PERCENT) {
       assertThat(fleet.sentTo("p-0")).as("prompts sent there").isGreaterThan(sentBefore);
     }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
@@ -15,7 +15,10 @@
 import org.fallturn.core.stages.StageChange;
 import org.junit.jupiter.api.Test;
 
-/** Which node orders changes of stage while the store serves some nodes and not others. */
+/**
+ * Exactly the first node that may order changes of stage does so, also while the store serves some
+ * nodes and not others.
+ */
 class StageControlTest {
 
   private static final ServingEngine[] ENGINES = {
@@ -31,14 +34,17 @@
 
   private static final int TICK_MILLIS = 100;
 
-  /** The dispatcher under test is node-1, before which the name of the other goes. */
+  /** The name of the other node. It comes before node-1, the node of the dispatcher under test. */
   private static final String OTHER = "node-0";
 
   private final Dispatcher dispatcher = Requests.dispatcher(ENGINES);
   private int millis;
 
-  /** Prompts wait at the engines that read, as the other node says, for some seconds. */
-  private Optional<StageChange> wantedWhileOtherSays(String firstNode, int seconds) {
+  /**
+   * Lets the other node report for some seconds that prompts wait at the prefill engines, and
+   * returns the change that the dispatcher wants at the end.
+   */
+  private Optional<StageChange> wantedWhileOtherReports(String firstNode, int seconds) {
     Optional<StageChange> wanted = Optional.empty();
     for (int tick = 0; tick < 1_000 / TICK_MILLIS * seconds; tick++) {
       millis += TICK_MILLIS;
@@ -68,35 +74,35 @@
   }
 
   @Test
-  void nodeThatIsNoCandidateLooksAtNoEngine() {
+  void nodeThatIsNoCandidateWatchesNoEngine() {
     allocatedByTicks();
     long asCandidate = allocatedByTicks();
     dispatcher.stages().setCandidate(false);
     allocatedByTicks();
     assertThat(allocatedByTicks()).isLessThan(asCandidate / 5);
     dispatcher.stages().setCandidate(true);
-    assertThat(wantedWhileOtherSays("", 4)).isPresent();
+    assertThat(wantedWhileOtherReports("", 4)).isPresent();
   }
 
   @Test
-  void firstNodeThatMayOrderDoesSo() {
-    assertThat(wantedWhileOtherSays(OTHER, 4)).isEmpty();
-    assertThat(wantedWhileOtherSays("", 1)).isPresent();
-    assertThat(wantedWhileOtherSays(OTHER, 1)).isEmpty();
+  void firstNodeThatMayOrderGivesTheOrders() {
+    assertThat(wantedWhileOtherReports(OTHER, 4)).isEmpty();
+    assertThat(wantedWhileOtherReports("", 1)).isPresent();
+    assertThat(wantedWhileOtherReports(OTHER, 1)).isEmpty();
   }
 
   @Test
-  void nodeThatGetsNoLeaseLeavesTheOrdersToAnotherForSomeTime() {
-    assertThat(wantedWhileOtherSays("", 4)).isPresent();
+  void nodeWithoutTheLeaseLeavesOrdersToAnotherNodeForSomeTime() {
+    assertThat(wantedWhileOtherReports("", 4)).isPresent();
     dispatcher.stages().onLeaseDenied(now());
     assertThat(dispatcher.stages().mayOrder(now())).isFalse();
-    assertThat(wantedWhileOtherSays("", 15)).isEmpty();
-    assertThat(wantedWhileOtherSays("", 10)).isPresent();
+    assertThat(wantedWhileOtherReports("", 15)).isEmpty();
+    assertThat(wantedWhileOtherReports("", 10)).isPresent();
   }
 
   @Test
-  void nodeThatOrdersTellsWhatItGoesBy() {
-    assertThat(wantedWhileOtherSays("", 4)).isPresent();
+  void orderingNodeProvidesItsOutlook() {
+    assertThat(wantedWhileOtherReports("", 4)).isPresent();
     assertThat(dispatcher.stages().outlooks(now()).get(MODEL))
         .satisfies(
             outlook -> {
@@ -105,30 +111,31 @@
               assertThat(outlook.prefillWaitMillis()).isGreaterThan(100);
               assertThat(outlook.wanted()).isEqualTo(EngineStage.PREFILL);
             });
-    assertThat(wantedWhileOtherSays(OTHER, 1)).isEmpty();
+    assertThat(wantedWhileOtherReports(OTHER, 1)).isEmpty();
     assertThat(dispatcher.stages().outlooks(now())).isEmpty();
   }
 
   /**
-   * It wants nothing from this node, an order included; it still counts as an engine that serves.
+   * An engine that rests wants nothing from this node, including orders. It still counts as an
+   * engine that serves.
    */
   @Test
   void engineThatRestsIsOrderedOnceItsRestIsOver() {
-    String wanted = wantedWhileOtherSays("", 4).orElseThrow().engine().id();
+    String wanted = wantedWhileOtherReports("", 4).orElseThrow().engine().id();
     for (ServingEngine engine : ENGINES) {
       dispatcher.notices().onRest(engine.id(), Duration.ofSeconds(3).toNanos(), now());
     }
-    assertThat(wantedWhileOtherSays("", 2)).isEmpty();
+    assertThat(wantedWhileOtherReports("", 2)).isEmpty();
     assertThat(dispatcher.stages().outlooks(now()).get(MODEL).decodeServing()).isEqualTo(5);
-    assertThat(wantedWhileOtherSays("", 2).orElseThrow().engine().id()).isEqualTo(wanted);
+    assertThat(wantedWhileOtherReports("", 2).orElseThrow().engine().id()).isEqualTo(wanted);
   }
 
   @Test
-  void engineThatSaysThatItLeavesIsNeitherOrderedNorCounted() {
-    String wanted = wantedWhileOtherSays("", 4).orElseThrow().engine().id();
+  void leavingEngineIsNeitherOrderedNorCounted() {
+    String wanted = wantedWhileOtherReports("", 4).orElseThrow().engine().id();
     dispatcher.notices().onLeaving(wanted, NoticeSource.ANSWER, now());
     assertThat(dispatcher.takeLeaving(now())).hasSize(1);
-    assertThat(wantedWhileOtherSays("", 1))
+    assertThat(wantedWhileOtherReports("", 1))
         .hasValueSatisfying(change -> assertThat(change.engine().id()).isNotEqualTo(wanted));
     assertThat(dispatcher.stages().outlooks(now()).get(MODEL).decodeServing()).isEqualTo(4);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/UnevenFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/UnevenFleetTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A node in front of engines of which each third is slower for good. */
+/**
+ * One node sends prompts to engines of which each third is permanently slower. A node that does not
+ * learn the pace of engines sends the slow ones too much work, and the slowest answers get slower.
+ */
 class UnevenFleetTest {
 
   private static final int NODES = 1;
@@ -19,14 +22,18 @@
   private static final double TOKENS_PER_MILLI = 50;
   private static final double SLOWER = 1.3;
   private static final int SEEDS = 4;
-  private static final double LOAD_PART = 0.85;
+  private static final double LOAD_SHARE = 0.85;
 
   @BeforeEach
-  void sameNames() {
+  void resetRequestNumbers() {
     Requests.numberFrom(1);
   }
 
-  /** Two of three engines are as usual, each third is slower; prompts come at most of what fits. */
+  /**
+   * Plays one minute of prompts at a share of the load that all engines can take together.
+   *
+   * @param learnsPace whether the node learns the pace of engines
+   */
   private static PrefillFleet play(boolean learnsPace, long seed) {
     ServingEngine[] engines = new ServingEngine[ENGINES + 1];
     for (int index = 0; index < ENGINES; index++) {
@@ -34,14 +41,14 @@
     }
     engines[ENGINES] = Requests.engine("d-0", Requests.MODEL, EngineStage.DECODE);
     PrefillFleet fleet = new PrefillFleet(NODES, TOKENS_PER_MILLI, learnsPace, engines);
-    fleet.tellAtOnce();
-    fleet.slow("p-2", SLOWER);
-    fleet.slow("p-5", SLOWER);
+    fleet.reportAtOnce();
+    fleet.setSlowness("p-2", SLOWER);
+    fleet.setSlowness("p-5", SLOWER);
     Random random = new Random(seed);
-    double fits = TOKENS_PER_MILLI * ENGINES * (2 + 1 / SLOWER) / 3;
+    double capacityTokensPerMilli = TOKENS_PER_MILLI * ENGINES * (2 + 1 / SLOWER) / 3;
     for (int millis = 0; millis < 60_000; millis += STEP_MILLIS) {
       double meanTokens = 17_000;
-      double arrivals = LOAD_PART * fits * STEP_MILLIS / meanTokens;
+      double arrivals = LOAD_SHARE * capacityTokensPerMilli * STEP_MILLIS / meanTokens;
       if (random.nextDouble() < arrivals) {
         int tokens = 12_000 + random.nextInt(10_000);
         fleet.arrive(random.nextInt(NODES), Requests.promptAt(fleet.now(), tokens));
@@ -51,8 +58,8 @@
     return fleet;
   }
 
-  private static double percentile(List<Double> times, double part) {
-    return times.stream().sorted().skip((long) (part * times.size())).findFirst().orElseThrow();
+  private static double percentile(List<Double> times, double quantile) {
+    return times.stream().sorted().skip((long) (quantile * times.size())).findFirst().orElseThrow();
   }
 
   private static double slowShare(PrefillFleet fleet) {
