--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/UnevenFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/UnevenFleetTest.java
@@ -30,7 +30,8 @@
   }
 
   /**
-   * Plays one minute of prompts at a share of the load that all engines can take together.
+   * Plays one minute of prompts at a share of the load that all engines can take together. Two of
+   * three engines work at the usual pace, and each third one is slower.
    *
    * @param learnsPace whether the node learns the pace of engines
    */
