--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineDigest.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.fallturn.core.limits.LimitDigest;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 
 /**
  * The load that one node, or a group of nodes together, has at one engine, and what they know of
@@ -32,7 +32,7 @@
     int heardAgoMillis,
     int leaving,
     LimitDigest limit,
-    PaceWord pace) {
+    RecentPace pace) {
 
   /** Value of {@link #heardAgoMillis} if no node has received a sign of life from the engine. */
   public static final int NOT_HEARD = -1;
@@ -57,7 +57,7 @@
         heardAgoMillis,
         0,
         LimitDigest.NONE,
-        PaceWord.NONE);
+        RecentPace.NONE);
   }
 
   /** Returns the same digest with the number of nodes that know that the engine is leaving. */
@@ -81,7 +81,7 @@
   }
 
   /** Returns the same digest with the pace of recent work. */
-  public EngineDigest withPace(PaceWord newPace) {
+  public EngineDigest withPace(RecentPace newPace) {
     return new EngineDigest(
         running,
         streams,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Function;
+import org.fallturn.core.limits.AnnouncedLimit;
+import org.fallturn.core.limits.AnnouncedLimitDigest;
 import org.fallturn.core.limits.LimitDigest;
-import org.fallturn.core.limits.LimitWord;
-import org.fallturn.core.limits.NamedLimit;
 import org.fallturn.core.limits.RateDigest;
 import org.fallturn.core.limits.SharedRate;
 import org.fallturn.core.membership.RendezvousHash;
@@ -37,7 +37,7 @@
 
   /** The limit of one engine. Its own lock guards all access. */
   private static final class Limited {
-    private final NamedLimit limit = new NamedLimit();
+    private final AnnouncedLimit limit = new AnnouncedLimit();
     private SharedRate rate;
 
     boolean inForce() {
@@ -61,10 +61,10 @@
    * @param perSecond the limit in requests per second, for all nodes together
    * @param sentNanos time at which the request was sent
    */
-  public void onNamed(String engineId, double perSecond, long sentNanos, long nowNanos) {
+  public void onLimitAnnounced(String engineId, double perSecond, long sentNanos, long nowNanos) {
     Limited engine = engines.computeIfAbsent(engineId, id -> new Limited());
     synchronized (engine) {
-      boolean changed = engine.limit.onNamed(perSecond, sentNanos, nowNanos);
+      boolean changed = engine.limit.onLimitAnnounced(perSecond, sentNanos, nowNanos);
       recordChange(engineId, engine, changed, NoticeSource.ANSWER);
     }
   }
@@ -74,25 +74,25 @@
    *
    * @param sentNanos time at which the request was sent
    */
-  public void onNoneNamed(String engineId, long sentNanos) {
+  public void onNoLimitAnnounced(String engineId, long sentNanos) {
     Limited engine = engines.get(engineId);
     if (engine == null) {
       return;
     }
     synchronized (engine) {
-      boolean changed = engine.limit.onNoneNamed(sentNanos);
+      boolean changed = engine.limit.onNoLimitAnnounced(sentNanos);
       recordChange(engineId, engine, changed, NoticeSource.ANSWER);
     }
   }
 
   /** Takes what another node reports about the limit of an engine. */
-  void onPeerReport(String engineId, LimitWord word, long nowNanos) {
-    if (!word.named() && !engines.containsKey(engineId)) {
+  void onPeerReport(String engineId, AnnouncedLimitDigest digest, long nowNanos) {
+    if (!digest.announced() && !engines.containsKey(engineId)) {
       return;
     }
     Limited engine = engines.computeIfAbsent(engineId, id -> new Limited());
     synchronized (engine) {
-      boolean changed = engine.limit.onPeerReport(word, nowNanos);
+      boolean changed = engine.limit.onPeerReport(digest, nowNanos);
       recordChange(engineId, engine, changed, NoticeSource.PEER);
     }
   }
@@ -213,7 +213,7 @@
     }
     synchronized (engine) {
       RateDigest rate = engine.inForce() ? engine.rate.digest(nowNanos) : RateDigest.NONE;
-      return new LimitDigest(rate, engine.limit.word(nowNanos));
+      return new LimitDigest(rate, engine.limit.digest(nowNanos));
     }
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
@@ -51,7 +51,7 @@
   /** Records that the answer to a request begins. */
   void onBegan(RequestProgress progress) {
     promptRead(progress);
-    if (progress.begin() && progress.longAnswer()) {
+    if (progress.beginAnswer() && progress.longAnswer()) {
       streams++;
     }
   }
@@ -119,7 +119,7 @@
 
   /**
    * Returns the time of the last sign of life that this node or another one received, or the given
-   * begin if none came since.
+   * beginAnswer if none came since.
    *
    * @param beginNanos earliest time to return
    * @param peersHeardNanos time of the last sign of life that another node received
@@ -133,14 +133,14 @@
   }
 
   /**
-   * Records that the engine has read the prompt of a request. The request has overtaken those that
-   * were sent before it, are at least as urgent and still wait to be read.
+   * Records that the engine has read the prompt of a request. The request has onOvertaken those
+   * that were sent before it, are at least as urgent and still wait to be read.
    */
   void promptRead(RequestProgress read) {
     removeFromBacklog(read);
     for (RequestProgress other : unread) {
       if (other.sentNanos() - read.sentNanos() < 0 && other.level() <= read.level()) {
-        other.overtaken();
+        other.onOvertaken();
       }
     }
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
@@ -87,7 +87,7 @@
   }
 
   /** Returns whether an engine is leaving. */
-  public boolean leaves(String engineId) {
+  public boolean isLeaving(String engineId) {
     return leavingSince.containsKey(engineId);
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -21,9 +21,9 @@
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineStage;
 import org.fallturn.core.routing.ServingEngine;
-import org.fallturn.core.waiting.EvenFill;
-import org.fallturn.core.waiting.StayLengths;
+import org.fallturn.core.waiting.ResponseTimes;
 import org.fallturn.core.waiting.WaitingParameters;
+import org.fallturn.core.waiting.WaterFilling;
 
 /**
  * Picks engines by cost: load as this node and its peers count it, health from outcomes, distance,
@@ -48,7 +48,7 @@
   private final EngineNotices notices;
   private final EnginePace pace;
   private final RecentDepartures departures;
-  private final StayLengths stays = new StayLengths();
+  private final ResponseTimes stays = new ResponseTimes();
   private final ChangingEngines changing = new ChangingEngines();
   private EngineDirectory directory = EngineDirectory.empty();
 
@@ -131,7 +131,7 @@
     return load(engine).streams() + peerLoads.streams(engine.id(), nowNanos);
   }
 
-  /** The stage an engine changes to by this node's order or another's; NONE otherwise. */
+  /** The stage an engine isChangingStage to by this node's order or another's; NONE otherwise. */
   EngineStage changingTo(ServingEngine engine, long nowNanos) {
     EngineStage own = changing.stageOf(engine.id());
     if (own != EngineStage.NONE || !peerLoads.changing(engine.id(), nowNanos)) {
@@ -154,7 +154,7 @@
   }
 
   /** Whether this node has ordered the engine to change. */
-  boolean changes(String engineId) {
+  boolean isChangingStage(String engineId) {
     return changing.stageOf(engineId) != EngineStage.NONE;
   }
 
@@ -296,7 +296,7 @@
   }
 
   /** Of how long application requests stay at the engines; whoever sees them end tells it. */
-  StayLengths stays() {
+  ResponseTimes stays() {
     return stays;
   }
 
@@ -311,22 +311,22 @@
       List<ServingEngine> engines,
       WaitingParameters waiting,
       long nowNanos) {
-    List<EvenFill.Vessel> vessels =
+    List<WaterFilling.EngineFill> vessels =
         engines.stream().map(engine -> vessel(engine, nowNanos)).toList();
     int ofPeers = engines.stream().mapToInt(e -> peerLoads.running(e.id(), nowNanos)).sum();
     double lag = Math.max(HALF_TURN_MILLIS, lagMillis(nowNanos));
-    double unseen = waiting.evenFill() ? stays.sentWithin(progress.service(), ofPeers, lag) : 0;
+    double unseen = waiting.evenFill() ? stays.arrivalsWithin(progress.service(), ofPeers, lag) : 0;
     double draw = RendezvousHash.draw(progress.envelope().requestId(), progress.service());
-    return engines.get(EvenFill.choose(vessels, unseen, draw));
+    return engines.get(WaterFilling.choose(vessels, unseen, draw));
   }
 
-  private EvenFill.Vessel vessel(ServingEngine engine, long nowNanos) {
+  private WaterFilling.EngineFill vessel(ServingEngine engine, long nowNanos) {
     double capacity =
         Math.max(1, engine.slots()) / slowness(engine, WorkKind.APPLICATION, nowNanos);
     double besides =
         FAILURE_RUN_COST * load(engine).health().failureShare(nowNanos)
             + (engine.zone().equals(zone) ? 0 : OTHER_ZONE_RUN_COST);
-    return new EvenFill.Vessel(running(engine, nowNanos) / capacity + besides, capacity);
+    return new WaterFilling.EngineFill(running(engine, nowNanos) / capacity + besides, capacity);
   }
 
   private static boolean prefills(ServingEngine engine) {
@@ -353,7 +353,7 @@
     if (!open.isEmpty()) {
       return open.stream().filter(engine -> !progress.hasTried(engine)).toList();
     }
-    return departures.lately(progress.service(), nowNanos).stream()
+    return departures.recentlyLeft(progress.service(), nowNanos).stream()
         .filter(engine -> fits.test(engine) && open(engine, nowNanos))
         .filter(engine -> usable(engine, progress, nowNanos))
         .toList();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -55,7 +55,7 @@
         load.streams(),
         load.backlog().toList(),
         load.health().warnsOthers(nowNanos) ? 1 : 0,
-        selector.changes(id) ? 1 : 0,
+        selector.isChangingStage(id) ? 1 : 0,
         heardAgoMillis(load, nowNanos),
         leavesUnannounced(id, listed) ? 1 : 0,
         notices.limits().digest(id, nowNanos),
@@ -71,10 +71,10 @@
     return !load.idle()
         || load.heardWithin(REPORTED_SIGN_NANOS, nowNanos)
         || load.health().warnsOthers(nowNanos)
-        || selector.changes(id)
+        || selector.isChangingStage(id)
         || leavesUnannounced(id, listed)
-        || !notices.limits().digest(id, nowNanos).saysNothing()
-        || !pace.recentPace(id, nowNanos).saysNothing();
+        || !notices.limits().digest(id, nowNanos).isNegligible()
+        || !pace.recentPace(id, nowNanos).isNegligible();
   }
 
   /**
@@ -82,7 +82,7 @@
    * may not know it yet.
    */
   private boolean leavesUnannounced(String id, EngineDirectory listed) {
-    return notices.leaves(id) && listed.find(id).filter(engine -> !engine.leaving()).isPresent();
+    return notices.isLeaving(id) && listed.find(id).filter(engine -> !engine.leaving()).isPresent();
   }
 
   private static int heardAgoMillis(EngineLoad load, long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.function.Function;
 import org.fallturn.core.pace.EnginePace;
-import org.fallturn.core.pace.LearnedPace;
 import org.fallturn.core.pace.PaceChange;
+import org.fallturn.core.pace.PaceEstimator;
 import org.fallturn.core.pace.PaceForecast;
 import org.fallturn.core.pace.PaceSample;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.pace.ServerLoad;
 import org.fallturn.core.pace.WorkKind;
 import org.fallturn.core.routing.EngineDirectory;
@@ -33,7 +33,7 @@
    */
   private static final int SHORT_PROMPT_TOKENS = 1_000;
 
-  private final LearnedPace learned;
+  private final PaceEstimator learned;
   private final Function<String, PrefillSpeed> speeds;
   private final boolean enabled;
   private final Map<String, WorkKind> kinds = new HashMap<>();
@@ -46,14 +46,14 @@
    * @param enabled whether pace is learned, reported and used in decisions
    */
   PaceObserver(PeerLoads peerLoads, Function<String, PrefillSpeed> speeds, boolean enabled) {
-    this.learned = new LearnedPace(peerLoads::pace);
+    this.learned = new PaceEstimator(peerLoads::pace);
     this.speeds = speeds;
     this.enabled = enabled;
   }
 
   /** Returns the pace that decisions use. */
   EnginePace pace() {
-    return enabled ? learned : EnginePace.EVEN;
+    return enabled ? learned : EnginePace.UNIFORM;
   }
 
   /** Takes the listed engines and drops what was learned of all others. */
@@ -77,18 +77,18 @@
   /** Takes the load that a listed engine reports of itself, with its pace. */
   void onLoadReported(String engineId, ServerLoad load, long reportedNanos) {
     if (enabled && kinds.containsKey(engineId) && load.pacePercent().isPresent()) {
-      learned.onOwnWord(engineId, load.pacePercent().getAsInt() / PERCENT, reportedNanos);
+      learned.onReportedPace(engineId, load.pacePercent().getAsInt() / PERCENT, reportedNanos);
     }
   }
 
   /**
    * Returns what this node's recent requests say about the pace of an engine, for the other nodes.
    */
-  PaceWord recentPace(String engineId, long nowNanos) {
+  RecentPace recentPace(String engineId, long nowNanos) {
     WorkKind kind = kinds.get(engineId);
     return !enabled || kind == null
-        ? PaceWord.NONE
-        : learned.lately(engineId, kind, nowNanos).worthTelling();
+        ? RecentPace.NONE
+        : learned.recent(engineId, kind, nowNanos).dropIfNegligible();
   }
 
   /** Removes and returns the changes of the engines' states since the last call. */
@@ -116,7 +116,7 @@
     String length = plan.readTokens() < SHORT_PROMPT_TOKENS ? "short" : "long";
     String work = engine.service() + ' ' + engine.stage() + ' ' + length;
     double usualMillis = plan.millis() - (plan.slowness() - 1) * reading;
-    progress.expect(new ExpectedWork(WorkKind.READING, work, usualMillis, weight, forecast));
+    progress.setExpected(new ExpectedWork(WorkKind.READING, work, usualMillis, weight, forecast));
   }
 
   /**
@@ -132,7 +132,8 @@
     PaceForecast forecast = learned.forecast(engine.id(), WorkKind.APPLICATION, nowNanos);
     String work = engine.service() + ' ' + progress.envelope().route().name();
     double rounds = Math.max(1, (running + 1.0) / Math.max(1, engine.slots()));
-    progress.expect(new ExpectedWork(WorkKind.APPLICATION, work, rounds, 1 / rounds, forecast));
+    progress.setExpected(
+        new ExpectedWork(WorkKind.APPLICATION, work, rounds, 1 / rounds, forecast));
   }
 
   /** Records how long the work of a request took: its prompt was read, or its answer has begun. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
@@ -12,7 +12,7 @@
 import org.fallturn.core.limits.BudgetDigest;
 import org.fallturn.core.limits.LimitDigest;
 import org.fallturn.core.limits.SharedBudget;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 
 /**
  * The load that the other nodes last reported at each engine. A node that has reported nothing for
@@ -190,7 +190,7 @@
   }
 
   /** Returns what the recent work of the other nodes at an engine says about its pace. */
-  PaceWord pace(String engineId, long nowNanos) {
+  RecentPace pace(String engineId, long nowNanos) {
     Sum sum = sum(engineId, nowNanos);
     return sum.pace.aged(nowNanos - sumsAtNanos);
   }
@@ -301,7 +301,7 @@
   }
 
   private static void addBudgets(Map<String, BudgetDigest> all, Received heard, long nowNanos) {
-    if (nowNanos - heard.atNanos < SharedBudget.TOLD_LIFETIME_NANOS) {
+    if (nowNanos - heard.atNanos < SharedBudget.DIGEST_LIFETIME_NANOS) {
       heard
           .digest
           .budgets()
@@ -322,7 +322,7 @@
 
   private void refresh(long nowNanos) {
     boolean old = nowNanos - sumsAtNanos >= SUMS_LIFETIME_NANOS;
-    if (sumsStale && old || nowNanos - sumsAtNanos >= SharedBudget.TOLD_LIFETIME_NANOS) {
+    if (sumsStale && old || nowNanos - sumsAtNanos >= SharedBudget.DIGEST_LIFETIME_NANOS) {
       recomputeSums(nowNanos);
     }
   }
@@ -370,7 +370,7 @@
     private int changing;
     private int leaving;
     private LimitDigest limit = LimitDigest.NONE;
-    private PaceWord pace = PaceWord.NONE;
+    private RecentPace pace = RecentPace.NONE;
     private boolean heard;
     private long heardNanos;
 
@@ -408,7 +408,7 @@
           heardAgo,
           leaving,
           limit,
-          pace.worthTelling());
+          pace.dropIfNegligible());
     }
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -9,7 +9,7 @@
 import org.fallturn.core.routing.EngineProfile;
 import org.fallturn.core.routing.Route;
 import org.fallturn.core.routing.ServingEngine;
-import org.fallturn.core.waiting.CacheRoom;
+import org.fallturn.core.waiting.KvCacheWait;
 import org.fallturn.core.waiting.WaitingParameters;
 
 /**
@@ -127,8 +127,9 @@
       double cost,
       double slowness) {
 
-    Expectation expectation() {
-      return new Expectation(millis, readTokens, aheadTokens, (int) Math.round(PERCENT * slowness));
+    PlacementEstimate estimate() {
+      return new PlacementEstimate(
+          millis, readTokens, aheadTokens, (int) Math.round(PERCENT * slowness));
     }
   }
 
@@ -401,7 +402,7 @@
     if (question.profile().isEmpty() || !question.waiting().cacheRoom()) {
       return 0;
     }
-    return CacheRoom.waitMillis(
+    return KvCacheWait.waitMillis(
         running,
         selector.cacheTokens(engine, question.nowNanos()),
         engine.slots(),
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RecentDepartures.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RecentDepartures.java
@@ -56,7 +56,7 @@
   }
 
   /** Returns the engines of a service that left recently and may still be used. */
-  List<ServingEngine> lately(String service, long nowNanos) {
+  List<ServingEngine> recentlyLeft(String service, long nowNanos) {
     return byId.values().stream()
         .filter(departure -> nowNanos - departure.untilNanos() < 0)
         .map(Departure::engine)
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.pace.ServerLoad;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineStage;
@@ -57,10 +57,10 @@
 
   private static void reportSlowEngine(Dispatcher dispatcher, int sequence, long nowNanos) {
     EngineDigest digest =
-        new EngineDigest(0, 0, List.of(), 0, 0, 10).withPace(PaceWord.of(300, 40));
+        new EngineDigest(0, 0, List.of(), 0, 0, 10).withPace(RecentPace.of(300, 40));
     LoadDigest reported =
         new LoadDigest("node-2", 1, sequence, Map.of("a-1", digest), List.of(), Map.of());
-    Requests.hear(dispatcher, reported, nowNanos);
+    Requests.receive(dispatcher, reported, nowNanos);
   }
 
   @Test
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
@@ -60,7 +60,7 @@
   record UsageReported(long window) implements DispatchEvent {}
 
   /** How many engines a service had by zone before any was ordered. */
-  record BaselineKnown(String service, Map<String, Integer> byZone) implements DispatchEvent {}
+  record InitialCountsKnown(String service, Map<String, Integer> byZone) implements DispatchEvent {}
 
   /** An order for engines was answered, or not. */
   record ScaleOrderAnswered(ScaleOrder order, DutyOutcome outcome) implements DispatchEvent {}
@@ -72,7 +72,7 @@
   record EngineGone(String engineId) implements DispatchEvent {}
 
   /** The store holds a content in quarantine or under suspicion. */
-  record QuarantineLoaded(QuarantineStore.Held held) implements DispatchEvent {}
+  record QuarantineLoaded(QuarantineStore.StoredContent held) implements DispatchEvent {}
 
   /** The store has taken a content in quarantine. */
   record QuarantineStored(RequestFingerprint content) implements DispatchEvent {}
