--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineHealth.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineHealth.java
@@ -20,8 +20,8 @@
   private static final double FAILURE_SHARE_WEIGHT = 0.15;
 
   /**
-   * Half-life of the failure share. It equals the longest suspension, after which an engine that
-   * failed until then is tried again.
+   * Half-life of the failure share in ns. It equals the longest suspension, since an engine that
+   * has failed until then is tried again.
    */
   private static final double FAILURE_SHARE_HALF_LIFE_NANOS = MAX_SUSPENSION_NANOS;
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
@@ -118,8 +118,8 @@
   }
 
   /**
-   * Returns the time of the last sign of life that this node or another one received, or the given
-   * beginAnswer if none came since.
+   * Returns the time of the last sign of life that this node or another one received, or {@code
+   * beginNanos} if none came since then.
    *
    * @param beginNanos earliest time to return
    * @param peersHeardNanos time of the last sign of life that another node received
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Records that the engine has read the prompt of a request. The request has onOvertaken those
-   * that were sent before it, are at least as urgent and still wait to be read.
+   * Records that the engine has read the prompt of a request. That request has overtaken the
+   * requests that were sent before it, are at least as urgent and still wait to be read.
    */
   void promptRead(RequestProgress read) {
     removeFromBacklog(read);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -17,7 +17,7 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * Feeds the learned pace of engines with the durations of this node's requests, each compared with
+ * Feeds the {@link PaceEstimator} with the durations of this node's requests, each compared with
  * the duration that was expected when the request was sent. A duration counts from the sending, and
  * the expectation includes the work that waited ahead, so that an engine with a backlog does not
  * seem slow. Confined to one thread.
@@ -33,7 +33,7 @@
    */
   private static final int SHORT_PROMPT_TOKENS = 1_000;
 
-  private final PaceEstimator learned;
+  private final PaceEstimator estimator;
   private final Function<String, PrefillSpeed> speeds;
   private final boolean enabled;
   private final Map<String, WorkKind> kinds = new HashMap<>();
@@ -46,21 +46,21 @@
    * @param enabled whether pace is learned, reported and used in decisions
    */
   PaceObserver(PeerLoads peerLoads, Function<String, PrefillSpeed> speeds, boolean enabled) {
-    this.learned = new PaceEstimator(peerLoads::pace);
+    this.estimator = new PaceEstimator(peerLoads::pace);
     this.speeds = speeds;
     this.enabled = enabled;
   }
 
   /** Returns the pace that decisions use. */
   EnginePace pace() {
-    return enabled ? learned : EnginePace.UNIFORM;
+    return enabled ? estimator : EnginePace.UNIFORM;
   }
 
   /** Takes the listed engines and drops what was learned of all others. */
   void onDirectory(EngineDirectory directory) {
     kinds.clear();
     directory.all().forEach(engine -> kinds.put(engine.id(), kind(engine)));
-    learned.retain(kinds::containsKey);
+    estimator.retain(kinds::containsKey);
   }
 
   private static WorkKind kind(ServingEngine engine) {
@@ -70,14 +70,14 @@
   /** Takes the pace that the other nodes have reported. Called several times a second. */
   void onTick(long nowNanos) {
     if (enabled) {
-      learned.onTick(kinds, nowNanos);
+      estimator.onTick(kinds, nowNanos);
     }
   }
 
   /** Takes the load that a listed engine reports of itself, with its pace. */
   void onLoadReported(String engineId, ServerLoad load, long reportedNanos) {
     if (enabled && kinds.containsKey(engineId) && load.pacePercent().isPresent()) {
-      learned.onReportedPace(engineId, load.pacePercent().getAsInt() / PERCENT, reportedNanos);
+      estimator.onReportedPace(engineId, load.pacePercent().getAsInt() / PERCENT, reportedNanos);
     }
   }
 
@@ -88,12 +88,12 @@
     WorkKind kind = kinds.get(engineId);
     return !enabled || kind == null
         ? RecentPace.NONE
-        : learned.recent(engineId, kind, nowNanos).dropIfNegligible();
+        : estimator.recent(engineId, kind, nowNanos).dropIfNegligible();
   }
 
   /** Removes and returns the changes of the engines' states since the last call. */
   List<PaceChange> takeChanges(long nowNanos) {
-    return learned.takeChanges(nowNanos);
+    return estimator.takeChanges(nowNanos);
   }
 
   /**
@@ -109,13 +109,13 @@
       return;
     }
     ServingEngine engine = plan.engine();
-    PaceForecast forecast = learned.forecast(engine.id(), WorkKind.READING, nowNanos);
+    PaceForecast forecast = estimator.forecast(engine.id(), WorkKind.READING, nowNanos);
     long tokens = plan.aheadTokens() + plan.readTokens();
-    double reading = speeds.apply(engine.service()).readMillis(engine.stage(), tokens);
+    double readMillis = speeds.apply(engine.service()).readMillis(engine.stage(), tokens);
     double weight = (double) plan.readTokens() / tokens;
     String length = plan.readTokens() < SHORT_PROMPT_TOKENS ? "short" : "long";
     String work = engine.service() + ' ' + engine.stage() + ' ' + length;
-    double usualMillis = plan.millis() - (plan.slowness() - 1) * reading;
+    double usualMillis = plan.millis() - (plan.slowness() - 1) * readMillis;
     progress.setExpected(new ExpectedWork(WorkKind.READING, work, usualMillis, weight, forecast));
   }
 
@@ -129,7 +129,7 @@
     if (!enabled) {
       return;
     }
-    PaceForecast forecast = learned.forecast(engine.id(), WorkKind.APPLICATION, nowNanos);
+    PaceForecast forecast = estimator.forecast(engine.id(), WorkKind.APPLICATION, nowNanos);
     String work = engine.service() + ' ' + progress.envelope().route().name();
     double rounds = Math.max(1, (running + 1.0) / Math.max(1, engine.slots()));
     progress.setExpected(
@@ -156,7 +156,7 @@
                       expected.millis(),
                       expected.weight(),
                       expected.forecast());
-              learned.onSample(sample, nowNanos);
+              estimator.onSample(sample, nowNanos);
             });
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
@@ -57,8 +57,8 @@
   private static final long SIGN_LIFETIME_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   /**
-   * Number of other nodes that must suspend an engine before it is suspected: one node alone may
-   * merely have lost its own connection to it.
+   * Number of other nodes that must have suspended an engine before it counts as suspected: one
+   * node alone may merely have lost its own connection to it.
    */
   private static final int MIN_SUSPECTING_NODES = 2;
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeed.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeed.java
@@ -21,6 +21,7 @@
    */
   private static final double FASTER_WEIGHT = 0.25;
 
+  /** Weight of an observation that is slower than the estimate, once there are many. */
   private static final double SLOWER_WEIGHT = 0.05;
 
   /**
@@ -38,6 +39,7 @@
   /** Lower bound of an observation, in tokens per ms. */
   private static final double MIN_TOKENS_PER_MILLI = 2;
 
+  /** Upper bound of an observation, in tokens per ms. */
   private static final double MAX_TOKENS_PER_MILLI = 2_000;
 
   /**
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
@@ -18,9 +18,9 @@
  * longest of them.
  *
  * <p>Invariant: an engine that works is never taken for silent, whatever the length of the prompts,
- * if it reads no more than {@link #SLOWNESS} times slower than the learned speed of its service, or
- * no slower than its own learned pace, and if what other nodes have there is known. Confined to one
- * thread.
+ * if it reads no more than {@link #DEFAULT_SLOWNESS} times slower than the learned speed of its
+ * service, or no slower than its own learned pace, and if what other nodes have there is known.
+ * Confined to one thread.
  */
 final class SilenceDetector {
 
@@ -35,7 +35,7 @@
    * Factor by which an engine may be slower than the learned speed of its service before its own
    * pace is learned.
    */
-  private static final double SLOWNESS = 1.3;
+  private static final double DEFAULT_SLOWNESS = 1.3;
 
   /**
    * Number of later prompts that the engine reads first before an attempt counts as lost. Engines
@@ -45,11 +45,11 @@
   private static final int OVERTAKEN_TIMES_WHEN_LOST = 3;
 
   /**
-   * Multiple of its patience after which an attempt that has priority over others counts as lost,
+   * Multiple of its timeout after which an attempt that has priority over others counts as lost,
    * counted from when the engine next answered any node: its connection may have gone silent. This
    * value is an estimate.
    */
-  private static final int PATIENCES_WHEN_LOST = 3;
+  private static final int TIMEOUTS_WHEN_LOST = 3;
 
   private final EngineSelector selector;
   private final PeerLoads peerLoads;
@@ -158,7 +158,7 @@
    * counts where it is higher, since a slow engine is not a dead one.
    */
   private double slowness(ServingEngine engine, long nowNanos) {
-    return Math.max(SLOWNESS, selector.slowness(engine, WorkKind.READING, nowNanos));
+    return Math.max(DEFAULT_SLOWNESS, selector.slowness(engine, WorkKind.READING, nowNanos));
   }
 
   /**
@@ -179,20 +179,20 @@
   /**
    * Returns why an attempt without a sign of life should be ended; empty if it should wait on.
    *
-   * <p>Before its patience is over, an attempt ends only if its engine has gone silent and the
-   * request may go to another engine. After that, it waits on while its prompt merely waits behind
+   * <p>Before its timeout, an attempt ends only if its engine has gone silent and the request may
+   * go to another engine. After the timeout, it waits on while its prompt merely waits behind
    * others: the engine has answered some node recently and has not read prompts that were sent
    * later.
    *
-   * @param patience how long the attempt waits before it is examined
+   * @param timeout timeout of the attempt
    */
-  Optional<StuckReason> stuck(RequestProgress progress, Duration patience, long nowNanos) {
+  Optional<StuckReason> stuck(RequestProgress progress, Duration timeout, long nowNanos) {
     long waited = nowNanos - progress.sentNanos();
     if (progress.engineHeardNanos().isEmpty()) {
       progress.engine().ifPresent(engine -> recordSignOfLife(progress, engine, nowNanos));
     }
-    if (waited < patience.toNanos()) {
-      return silentWithinPatience(progress, nowNanos)
+    if (waited < timeout.toNanos()) {
+      return silentWithinTimeout(progress, nowNanos)
           ? Optional.of(StuckReason.ENGINE_SILENT)
           : Optional.empty();
     }
@@ -207,7 +207,7 @@
     if (quiet && selector.suspected(engine, nowNanos)) {
       return Optional.of(StuckReason.ENGINE_SUSPECTED);
     }
-    if (skippedForOthers(progress, patience, nowNanos)) {
+    if (skippedForOthers(progress, timeout, nowNanos)) {
       return Optional.of(StuckReason.CONNECTION_SILENT);
     }
     return progress.overtakenCount() >= OVERTAKEN_TIMES_WHEN_LOST
@@ -219,7 +219,7 @@
    * Returns whether the engine of a request was suspended for silence and has been silent since the
    * request was sent, too.
    */
-  private boolean silentWithinPatience(RequestProgress progress, long nowNanos) {
+  private boolean silentWithinTimeout(RequestProgress progress, long nowNanos) {
     return progress
         .engine()
         .map(engine -> selector.load(engine).health())
@@ -234,10 +234,10 @@
    * before.
    */
   private static boolean skippedForOthers(
-      RequestProgress progress, Duration patience, long nowNanos) {
+      RequestProgress progress, Duration timeout, long nowNanos) {
     OptionalLong heard = progress.engineHeardNanos();
     return !progress.sentAsLate()
         && heard.isPresent()
-        && nowNanos - heard.getAsLong() >= PATIENCES_WHEN_LOST * patience.toNanos();
+        && nowNanos - heard.getAsLong() >= TIMEOUTS_WHEN_LOST * timeout.toNanos();
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/QuarantineFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/QuarantineFleetTest.java
@@ -130,7 +130,7 @@
       case 1 -> fleet.resetConnections(0.5);
       case 2 -> fleet.restart(random.nextInt(fleet.nodeCount()));
       default -> {
-        // calm
+        // no fault in this step
       }
     }
   }
