--- a/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
@@ -38,7 +38,7 @@
   }
 
   /** Calls back after each newer change or time that is learned, on the thread that learns it. */
-  public void setOnNews(Runnable callback) {
+  public void setOnNewerVersion(Runnable callback) {
     onNews = callback;
   }
 
@@ -61,7 +61,7 @@
    *
    * @return whether anything of it was new
    */
-  boolean onTold(Map<String, Long> told, long nowNanos) {
+  boolean onPeerReport(Map<String, Long> told, long nowNanos) {
     boolean news = false;
     for (Map.Entry<String, Long> entry : told.entrySet()) {
       news |= raise(newest, entry.getKey(), entry.getValue());
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/BudgetFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/BudgetFleet.java
@@ -136,7 +136,7 @@
       while (latest != null && of.peekFirst() != latest) {
         of.removeFirst();
       }
-      boolean fresh = latest != null && now - latest.atNanos < SharedBudget.TOLD_LIFETIME_NANOS;
+      boolean fresh = latest != null && now - latest.atNanos < SharedBudget.DIGEST_LIFETIME_NANOS;
       heard.add(fresh ? latest : new Told(now, BudgetDigest.NONE, Integer.MIN_VALUE));
     }
     for (int node = 0; node < nodes; node++) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
@@ -131,7 +131,7 @@
   }
 
   /** Another node told what an engine keeps. */
-  void onTold(String engineId, long nowNanos) {
+  void onPeerReport(String engineId, long nowNanos) {
     Surveyed surveyed = engines.get(engineId);
     if (surveyed != null) {
       onKnown(surveyed, nowNanos);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
@@ -16,8 +16,8 @@
 import org.fallturn.core.error.ErrorKind;
 import org.fallturn.core.following.FollowStep;
 import org.fallturn.core.pace.PaceChange;
+import org.fallturn.core.quarantine.QuarantineStatusChange;
 import org.fallturn.core.quarantine.RequestFingerprint;
-import org.fallturn.core.quarantine.StandingChange;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.RoutingImage;
 import org.fallturn.core.routing.ServingEngine;
@@ -269,10 +269,10 @@
     line(LogEvent.ENGINE_GONE).addKeyValue("engine", engineId).log();
   }
 
-  void standingChanged(StandingChange change) {
-    line(LogEvent.STANDING_CHANGED, change.standing().name())
+  void standingChanged(QuarantineStatusChange change) {
+    line(LogEvent.STANDING_CHANGED, change.status().name())
         .addKeyValue("content", change.content())
-        .addKeyValue("standing", change.standing())
+        .addKeyValue("standing", change.status())
         .addKeyValue("engines", change.engines())
         .log();
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -50,7 +50,7 @@
   private final DecisionLog log;
   private final PeerTalk peers;
   private final Set<Exchange> active = new HashSet<>();
-  private final HeldRequests held;
+  private final PendingRequestTerminator held;
   private final CacheSurvey survey;
   private final Consumer<StageChange> stageChanges;
   private final QuarantineKeeper keeper;
@@ -77,7 +77,7 @@
     this.dispatcher = dispatcher;
     this.engines = engines;
     this.log = log;
-    this.held = new HeldRequests(engines, log);
+    this.held = new PendingRequestTerminator(engines, log);
     this.peers = peers;
     this.survey = survey;
     this.stageChanges = stageChanges;
@@ -117,7 +117,8 @@
       log.cacheListed(answer);
       answer
           .parts()
-          .ifPresent(parts -> dispatcher.fleet().onCacheListed(parts, answer.askedAtNanos()));
+          .ifPresent(
+              parts -> dispatcher.fleet().onEngineCacheListing(parts, answer.askedAtNanos()));
       survey.onAnswer(answer, now);
       peers.onListed(answer, now);
       endWaiting(now);
@@ -132,26 +133,26 @@
     } else if (event instanceof DispatchEvent.StageChangeAbandoned abandoned) {
       dispatcher.stages().abandon(abandoned.change());
     } else if (event instanceof DispatchEvent.CannotLead) {
-      dispatcher.stages().onCannotLead(now);
+      dispatcher.stages().onLeaseDenied(now);
       peers.tellNow(now);
     } else if (event instanceof DispatchEvent.StageOrderUnanswered unanswered) {
       dispatcher.stages().onUnanswered(unanswered.change(), now);
     } else if (event instanceof DispatchEvent.EngineGone gone) {
       keeper.onEngineGone(gone.engineId(), now);
-    } else if (event instanceof DispatchEvent.QuarantineRecalled recalled) {
-      dispatcher.quarantine().onRecalled(recalled.held(), now);
+    } else if (event instanceof DispatchEvent.QuarantineLoaded recalled) {
+      dispatcher.quarantine().onLoadedFromStore(recalled.held(), now);
     } else if (event instanceof DispatchEvent.QuarantineStored stored) {
       dispatcher.quarantine().onStored(stored.content(), now);
     } else if (event instanceof DispatchEvent.ParametersChanged changed) {
       dispatcher.setParameters(changed.parameters());
     } else if (event instanceof DispatchEvent.UsageReported reported) {
       runs.onReported(reported.window());
-    } else if (event instanceof DispatchEvent.StandingKnown known) {
-      scaling.onStanding(known.service(), known.byZone());
-    } else if (event instanceof DispatchEvent.ScaleAnswered answered) {
+    } else if (event instanceof DispatchEvent.BaselineKnown known) {
+      scaling.onInitialCounts(known.service(), known.byZone());
+    } else if (event instanceof DispatchEvent.ScaleOrderAnswered answered) {
       scaling.onAnswer(answered.order(), answered.outcome(), now);
-    } else if (event instanceof DispatchEvent.PeerHeard heard) {
-      heard.message().usage().ifPresent(runs::onTold);
+    } else if (event instanceof DispatchEvent.PeerMessageReceived heard) {
+      heard.message().usage().ifPresent(runs::onPeerReport);
       peers.onHeard(heard.message(), now);
       endWaiting(now);
     }
@@ -363,7 +364,7 @@
   public void onBatchEnd() {
     long now = System.nanoTime();
     endWaits(now);
-    if (dispatcher.quarantine().takeNews()) {
+    if (dispatcher.quarantine().takeUrgentChange()) {
       peers.tellNow(now);
       keepQuarantine(now);
     } else if (dispatcher.fleet().hasNewPrompts()) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
@@ -100,7 +100,7 @@
     EngineAnswerHead head = protocol.readHead(response.getStatus(), response.getHeaders());
     if (head.belongsTo(requestId)
         && protocol.readNotice(response.getStatus(), response.getHeaders()).unlimited()) {
-      notices.limits().onNoneNamed(engine.id(), sentNanos);
+      notices.limits().onNoLimitAnnounced(engine.id(), sentNanos);
     }
   }
 
@@ -112,8 +112,8 @@
     notice.rest().ifPresent(rest -> onRest(engine, rest, now));
     notice
         .perSecond()
-        .ifPresent(limit -> notices.limits().onNamed(engine.id(), limit, sentNanos, now));
-    notice.load().ifPresent(load -> notices.loadWords().onSaid(engine.id(), load, now));
+        .ifPresent(limit -> notices.limits().onLimitAnnounced(engine.id(), limit, sentNanos, now));
+    notice.load().ifPresent(load -> notices.reportedLoads().onLoadReported(engine.id(), load, now));
     notice.unreadable().forEach(text -> refuse(engine, text));
   }
 
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
@@ -95,7 +95,7 @@
   private static final class EmptyQuarantine implements QuarantineStore {
 
     @Override
-    public List<Held> read() {
+    public List<StoredContent> read() {
       return List.of();
     }
 
@@ -135,13 +135,13 @@
   private static CallerProtocol callers() {
     return new CallerProtocol() {
       @Override
-      public CallerHead readHead(Request request) {
-        return new CallerHead(
+      public CallerRequestHead readHead(Request request) {
+        return new CallerRequestHead(
             "r-1", "host", "/x", "", Optional.empty(), Optional.empty(), Optional.empty());
       }
 
       @Override
-      public void writeOwnAnswer(
+      public void addOwnAnswerHeaders(
           HttpFields.Mutable headers, String requestId, Optional<Duration> retryAfter) {}
     };
   }
