--- a/fallturn-core/src/main/java/org/fallturn/core/limits/AnnouncedLimit.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/AnnouncedLimit.java
@@ -4,85 +4,111 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Which limit is in force, by answers that name it or do not, and by what other nodes tell. Answers
- * overtake each other, and some were made before the limit was announced.
+ * The rate limit of one engine that is in force, learned from the engine's answers, which announce
+ * a limit or none, and from the digests of other nodes. Answers may overtake each other, and an
+ * engine may have produced an answer before it announced the limit.
  *
- * <p>Invariant: a limit ends, or rises, only by an answer to a request that was sent after the
- * limit in force had last been announced to this node; it falls at once. What others tell is
- * believed only where it is surely newer than what this node heard itself. Callers see to it that
- * one thread calls at a time.
+ * <p>Invariant: a limit ends or rises only through an answer to a request that was sent after the
+ * limit in force was last announced to this node; it falls at once. A report of another node counts
+ * only where it is certainly newer than what the engine told this node. The caller must make sure
+ * that one thread calls at a time.
  */
 public final class AnnouncedLimit {
 
-  /** Longer than what one node says takes to another, so that its ages can be compared. */
-  private static final long TELLING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /**
+   * An upper bound on the time that a digest takes from one node to another. Ages that differ by
+   * more can be compared.
+   */
+  private static final long PROPAGATION_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** How long an end is told to others: some turns, of which any may be lost. */
-  private static final long END_TOLD_NANOS = TimeUnit.SECONDS.toNanos(3);
+  /**
+   * How long the end of a limit is reported to other nodes: several rounds, any of which may be
+   * lost.
+   */
+  private static final long END_REPORT_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   private OptionalDouble perSecond = OptionalDouble.empty();
-  private long namedNanos;
-  private boolean namedHere;
+  private long announcedNanos;
+  private boolean announcedToThisNode;
   private boolean everEnded;
   private long endedNanos;
 
-  /** The limit in force; empty when there is none. */
+  /** The limit in force, in requests per second; empty when there is none. */
   public OptionalDouble perSecond() {
     return perSecond;
   }
 
-  /** An answer that came now names a limit; whether that changes the one in force. */
+  /**
+   * Handles an answer, received now, that announces a limit.
+   *
+   * @param announced the limit in requests per second
+   * @param sentNanos when the request was sent
+   * @return whether the limit in force changes
+   */
   public boolean onLimitAnnounced(double announced, long sentNanos, long nowNanos) {
     boolean rises = perSecond.isPresent() && announced > perSecond.getAsDouble();
-    if (rises && sentNanos - namedNanos < 0) {
+    if (rises && sentNanos - announcedNanos < 0) {
       return false;
     }
     return set(announced, true, nowNanos);
   }
 
-  /** An answer that came now names none; whether that ends the one in force. */
+  /**
+   * Handles an answer that announces no limit.
+   *
+   * @param sentNanos when the request was sent
+   * @return whether the limit in force ends
+   */
   public boolean onNoLimitAnnounced(long sentNanos) {
     return end(sentNanos);
   }
 
-  /** Other nodes tell what they know; whether that changes what is in force. */
+  /**
+   * Handles the digest of other nodes.
+   *
+   * @return whether the limit in force changes
+   */
   public boolean onPeerReport(AnnouncedLimitDigest digest, long nowNanos) {
-    long toldNamed = nowNanos - TimeUnit.MILLISECONDS.toNanos(digest.announcedAgoMillis());
+    long announcedByReportNanos =
+        nowNanos - TimeUnit.MILLISECONDS.toNanos(digest.announcedAgoMillis());
     boolean announced =
         digest.announced()
-            && newerThanKnown(toldNamed)
-            && set(digest.perSecond(), false, toldNamed);
-    return digest.ended() && end(toldEnd(digest, nowNanos)) || announced;
+            && newerThanKnown(announcedByReportNanos)
+            && set(digest.perSecond(), false, announcedByReportNanos);
+    return digest.ended() && end(latestSafeEnd(digest, nowNanos)) || announced;
   }
 
   /**
-   * The moment that an end which others tell surely came after. Where this node knows the limit
-   * from others alone, their own order of the two holds.
+   * Returns a time that certainly is not later than the reported end. When this node knows the
+   * limit from other nodes only, their order of announcement and end holds.
    */
-  private long toldEnd(AnnouncedLimitDigest digest, long nowNanos) {
-    boolean afterNaming =
+  private long latestSafeEnd(AnnouncedLimitDigest digest, long nowNanos) {
+    boolean endedAfterAnnouncement =
         !digest.announced() || digest.endedAgoMillis() < digest.announcedAgoMillis();
-    long told = nowNanos - TimeUnit.MILLISECONDS.toNanos(digest.endedAgoMillis()) - TELLING_NANOS;
-    return !namedHere && afterNaming && told - namedNanos < 0 ? namedNanos : told;
+    long reportedEndNanos =
+        nowNanos - TimeUnit.MILLISECONDS.toNanos(digest.endedAgoMillis()) - PROPAGATION_NANOS;
+    return !announcedToThisNode && endedAfterAnnouncement && reportedEndNanos - announcedNanos < 0
+        ? announcedNanos
+        : reportedEndNanos;
   }
 
-  private boolean newerThanKnown(long toldNamed) {
+  private boolean newerThanKnown(long announcedByReportNanos) {
     if (perSecond.isPresent()) {
-      return toldNamed - namedNanos > TELLING_NANOS;
+      return announcedByReportNanos - announcedNanos > PROPAGATION_NANOS;
     }
-    return !everEnded || toldNamed - endedNanos > TELLING_NANOS;
+    return !everEnded || announcedByReportNanos - endedNanos > PROPAGATION_NANOS;
   }
 
-  private boolean set(double announced, boolean here, long atNanos) {
+  private boolean set(double announced, boolean toThisNode, long atNanos) {
     boolean changed = perSecond.isEmpty() || perSecond.getAsDouble() != announced;
     perSecond = OptionalDouble.of(announced);
-    namedNanos = atNanos;
-    namedHere = here;
+    announcedNanos = atNanos;
+    announcedToThisNode = toThisNode;
     return changed;
   }
 
   private boolean end(long sentNanos) {
-    if (perSecond.isEmpty() || sentNanos - namedNanos < 0) {
+    if (perSecond.isEmpty() || sentNanos - announcedNanos < 0) {
       return false;
     }
     perSecond = OptionalDouble.empty();
@@ -91,18 +117,18 @@
     return true;
   }
 
-  /** Whether it was last announced, or ended, within a time. */
+  /** Returns whether the limit was last announced, or ended, within the given time. */
   public boolean heardWithin(long nanos, long nowNanos) {
-    return nowNanos - namedNanos < nanos || everEnded && nowNanos - endedNanos < nanos;
+    return nowNanos - announcedNanos < nanos || everEnded && nowNanos - endedNanos < nanos;
   }
 
-  /** What this node tells others. */
+  /** The digest that this node sends to others. */
   public AnnouncedLimitDigest digest(long nowNanos) {
-    boolean tellsEnd = everEnded && nowNanos - endedNanos < END_TOLD_NANOS;
+    boolean reportsEnd = everEnded && nowNanos - endedNanos < END_REPORT_NANOS;
     return new AnnouncedLimitDigest(
         perSecond.orElse(0),
-        perSecond.isPresent() ? millisSince(namedNanos, nowNanos) : AnnouncedLimitDigest.NEVER,
-        tellsEnd ? millisSince(endedNanos, nowNanos) : AnnouncedLimitDigest.NEVER);
+        perSecond.isPresent() ? millisSince(announcedNanos, nowNanos) : AnnouncedLimitDigest.NEVER,
+        reportsEnd ? millisSince(endedNanos, nowNanos) : AnnouncedLimitDigest.NEVER);
   }
 
   private static int millisSince(long nanos, long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/AnnouncedLimitDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/AnnouncedLimitDigest.java
@@ -1,35 +1,38 @@
 package org.fallturn.core.limits;
 
 /**
- * What nodes tell each other of the limit that somebody names of itself. Immutable.
+ * What nodes tell each other of the rate limit that an engine announced for itself. Immutable.
  *
- * @param perSecond the limit; means nothing when none is known
- * @param announcedAgoMillis time in ms since it was last announced to any of them; {@link #NEVER}
- *     when none is known
- * @param endedAgoMillis time in ms since a request was sent whose answer announced none; {@link
- *     #NEVER} when there was none lately
+ * @param perSecond the limit in requests per second; without meaning when none is known
+ * @param announcedAgoMillis time in ms since the engine last announced it to any of these nodes;
+ *     {@link #NEVER} when no limit is known
+ * @param endedAgoMillis time in ms since a node sent the request whose answer announced no limit
+ *     any more; {@link #NEVER} when there was none recently
  */
 public record AnnouncedLimitDigest(double perSecond, int announcedAgoMillis, int endedAgoMillis) {
 
-  /** It did not happen, as far as it is known. */
+  /** The age of an event that is not known to have happened. */
   public static final int NEVER = -1;
 
-  /** Nothing is known. */
+  /** The digest of a node that knows of no limit. */
   public static final AnnouncedLimitDigest NONE = new AnnouncedLimitDigest(0, NEVER, NEVER);
 
-  /** Whether a limit is told. */
+  /** Returns whether this digest reports a limit. */
   public boolean announced() {
     return announcedAgoMillis != NEVER;
   }
 
-  /** Whether it is told that a limit ended. */
+  /** Returns whether this digest reports that a limit ended. */
   public boolean ended() {
     return endedAgoMillis != NEVER;
   }
 
-  /** What two together know: the newer of each; of limits announced at the same time the lower. */
+  /**
+   * Merges two digests: the newer of each event wins; of limits announced at the same time the
+   * lower one wins.
+   */
   public AnnouncedLimitDigest and(AnnouncedLimitDigest other) {
-    AnnouncedLimitDigest newer = other.namedLaterThan(this) ? other : this;
+    AnnouncedLimitDigest newer = other.announcedLaterThan(this) ? other : this;
     return new AnnouncedLimitDigest(
         newer.perSecond,
         newer.announcedAgoMillis,
@@ -38,7 +41,7 @@
             : Math.max(endedAgoMillis, other.endedAgoMillis));
   }
 
-  private boolean namedLaterThan(AnnouncedLimitDigest other) {
+  private boolean announcedLaterThan(AnnouncedLimitDigest other) {
     if (!announced() || !other.announced()) {
       return announced();
     }
@@ -47,7 +50,11 @@
         : announcedAgoMillis < other.announcedAgoMillis;
   }
 
-  /** The same, told so many ms later. */
+  /**
+   * Returns this digest with its ages increased.
+   *
+   * @param millis time in ms to add
+   */
   public AnnouncedLimitDigest aged(int millis) {
     return new AnnouncedLimitDigest(
         perSecond, aged(announcedAgoMillis, millis), aged(endedAgoMillis, millis));
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
@@ -1,26 +1,30 @@
 package org.fallturn.core.limits;
 
 /**
- * What nodes tell each other of a limit that they keep together. Immutable.
+ * The state of a shared rate limit that nodes send to each other. Immutable.
  *
- * @param rate their parts of it
- * @param word what they know of the limit itself
+ * @param rate the sender's part of the rate
+ * @param word what the sender knows of the limit that the engine announced
  */
 public record LimitDigest(RateDigest rate, AnnouncedLimitDigest word) {
 
-  /** Nothing is told. */
+  /** The digest that carries no information. */
   public static final LimitDigest NONE =
       new LimitDigest(RateDigest.NONE, AnnouncedLimitDigest.NONE);
 
   /**
-   * Whether nothing is told. Asked for each engine by each process that starts, and so by fields:
-   * the equality of records is linked on first use, which holds a start up.
+   * Returns whether this digest carries no information. Each process that starts calls this for
+   * every engine. It compares fields, since the JVM links the equals method of a record on first
+   * use, which delays the start.
    */
   public boolean isNegligible() {
     return rate.nodes() == 0 && !word.announced() && !word.ended();
   }
 
-  /** What both tell together; for most engines that is nothing, and costs nothing. */
+  /**
+   * Returns what this digest and another one say together. For most engines neither says anything,
+   * and then nothing is allocated.
+   */
   public LimitDigest and(LimitDigest other) {
     if (isNegligible() || other.isNegligible()) {
       return isNegligible() ? other : this;
@@ -28,7 +32,11 @@
     return new LimitDigest(rate.plus(other.rate), word.and(other.word));
   }
 
-  /** The same, told so many ms later. */
+  /**
+   * Returns this digest with its ages increased.
+   *
+   * @param millis time in ms to add
+   */
   public LimitDigest aged(int millis) {
     return isNegligible() ? NONE : new LimitDigest(rate, word.aged(millis));
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/RateDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/RateDigest.java
@@ -1,19 +1,20 @@
 package org.fallturn.core.limits;
 
 /**
- * What nodes tell each other of a rate that they share; adds up over nodes. Immutable.
+ * The state of a shared rate that nodes send to each other. Digests of several nodes add up
+ * component by component. Immutable.
  *
- * @param nodes how many nodes keep to the limit and tell so
- * @param weight how much of the rate they want, against what the others tell
- * @param held permits that they have and nobody has asked for yet
- * @param sent what they have sent within the last window
+ * @param nodes number of nodes that this digest sums up; each of them applies the limit
+ * @param weight their demand, relative to the weights of other nodes
+ * @param held permits that they hold and that no request has used yet
+ * @param sent requests that they sent within the last window
  */
 public record RateDigest(int nodes, int weight, int held, int sent) {
 
-  /** Nobody keeps to a limit. */
+  /** The digest of no nodes. */
   public static final RateDigest NONE = new RateDigest(0, 0, 0, 0);
 
-  /** Both together. */
+  /** Returns the sum of this digest and another one. */
   public RateDigest plus(RateDigest other) {
     return new RateDigest(
         nodes + other.nodes, weight + other.weight, held + other.held, sent + other.sent);
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
@@ -5,64 +5,75 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * This node's part of a budget of a sliding window that holds over the whole fleet, kept without a
- * trip a request: so many for each request that came, and a fixed number beyond. Each node brings
- * in what its own requests give and an equal part of the fixed number; what is left of all that is
- * brought in goes to those that want it. It answers failures that are at one node, or at some,
- * while the parts of the others lie unused.
+ * This node's part of a budget that holds over the whole fleet within a sliding window, kept
+ * without a round trip per request. The budget is a number of units for each request received, plus
+ * a fixed number. Each node contributes the units for its own requests and an equal share of the
+ * fixed number. It reserves a part of its contribution for itself; the rest forms a pool for the
+ * nodes that need more. This serves failures that occur at one node, or at some, while the parts of
+ * the others lie unused.
  *
- * <p>Invariant: what is taken within a window stays within what is brought in by those that hear
- * each other, and a node that hears nobody takes no more than it brings in. A node keeps of its own
- * part what it wants itself; the rest it leaves to others for a whole window once it has heard that
- * they want it, and tells what it keeps. Others take only what surely nobody keeps and nobody was
- * heard to have taken, those included that are heard no more. Of that a node takes its part once in
- * the time until all know of it: by its own wants once the others have been told, theirs at once.
+ * <p>Invariant: what nodes that hear each other take within a window stays within what they
+ * contribute together, and a node that hears no other takes no more than it contributes. Once a
+ * node has heard that others want units, it lends them what it does not want itself, for a whole
+ * window, and reports what it still reserves. Other nodes take from the pool only what certainly no
+ * node reserves and no node, including those that are not heard any more, was heard to have taken.
+ * Each node takes its share of the pool once per round trip of digests. That share counts this
+ * node's demand only after the others have been told of it, and the demand of others at once.
  *
- * <p>Nothing is told while nobody wants anything. Callers see to it that one thread calls at a
- * time.
+ * <p>Nodes send nothing while no node wants a unit. The caller must make sure that one thread calls
+ * at a time.
  */
 public final class SharedBudget {
 
   private static final int BUCKETS = 20;
 
-  /** Wants are counted over so long, in buckets of 100 ms. */
-  private static final int WANTED_TENTHS = 20;
+  /** The period over which demand is counted, in buckets of 100 ms. */
+  private static final int DEMAND_TENTHS = 20;
 
-  /** After so long the others know what this node wants: two turns, and the way through relays. */
+  /**
+   * The time, in tenths of a second, after which the other nodes know this node's demand: two
+   * rounds, and the way through relays.
+   */
   private static final int SETTLING_TENTHS = 5;
 
-  /** Until what was taken is known to all, and what they took meanwhile is known here. */
-  private static final int UNKNOWN_TENTHS = 2 * SETTLING_TENTHS;
+  /**
+   * The time, in tenths of a second, until all nodes know what this one took, and this node knows
+   * what they took meanwhile.
+   */
+  private static final int ROUND_TRIP_TENTHS = 2 * SETTLING_TENTHS;
 
-  /** What others want for so long is no burst; it is seen each turn. */
-  private static final int LASTING_TENTHS = 15;
+  /**
+   * Demand of others that lasts for so long, in tenths of a second, is no burst. Each round reports
+   * it.
+   */
+  private static final int SUSTAINED_TENTHS = 15;
 
   /** More than any fleet wants. */
-  private static final int MOST_WANTED = 1_000_000;
+  private static final int MAX_DEMAND = 1_000_000;
 
-  /** Of its own part a node leaves at the most so much; the rest is for what it wants itself. */
-  private static final double MOST_LEFT = 0.95;
+  /**
+   * The largest fraction of its contribution that a node lends; it reserves the rest for itself.
+   */
+  private static final double MAX_LENT = 0.95;
 
   private static final double HUNDREDTHS = 100;
 
-  /**
-   * What others told of a budget is believed for so long: several turns, of which some are lost.
-   */
+  /** How long a node's digest of a budget counts: several rounds, some of which may be lost. */
   public static final long DIGEST_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** How often the time in which wants are counted fits into a window. */
-  private final double wantedTimes;
+  /** How many periods of {@link #DEMAND_TENTHS} one window has. */
+  private final double demandPeriodsPerWindow;
 
   private final SlidingCount requests;
   private final SlidingCount used;
-  private final SlidingCount usedLately = SlidingCount.ofTenths(UNKNOWN_TENTHS);
-  private final SlidingCount wants = SlidingCount.ofTenths(WANTED_TENTHS + SETTLING_TENTHS);
+  private final SlidingCount usedRecently = SlidingCount.ofTenths(ROUND_TRIP_TENTHS);
+  private final SlidingCount demand = SlidingCount.ofTenths(DEMAND_TENTHS + SETTLING_TENTHS);
   private final SlidingPeak usedByOthers;
   private final SlidingPeak usedByEach;
-  private final SlidingPeak notWanted =
-      new SlidingPeak(TimeUnit.MILLISECONDS.toNanos(100L * LASTING_TENTHS), LASTING_TENTHS);
-  private final SlidingCount wantsInWindow;
-  private final SlidingPeak leftToOthers;
+  private final SlidingPeak invertedDemand =
+      new SlidingPeak(TimeUnit.MILLISECONDS.toNanos(100L * SUSTAINED_TENTHS), SUSTAINED_TENTHS);
+  private final SlidingCount demandInWindow;
+  private final SlidingPeak lentPeak;
   private double perRequest;
   private double fixed;
   private BudgetDigest others = BudgetDigest.NONE;
@@ -70,25 +81,25 @@
   private boolean sharing;
 
   /**
-   * A budget of which nothing is taken yet.
+   * Creates a budget from which nothing has been taken.
    *
-   * @param window in which it is counted
+   * @param window length of the sliding window
    */
   public SharedBudget(Duration window) {
-    wantedTimes = window.toMillis() / (100.0 * WANTED_TENTHS);
+    demandPeriodsPerWindow = window.toMillis() / (100.0 * DEMAND_TENTHS);
     requests = new SlidingCount(window.toNanos(), BUCKETS);
     used = new SlidingCount(window.toNanos(), BUCKETS);
-    wantsInWindow = new SlidingCount(window.toNanos(), BUCKETS);
-    leftToOthers = new SlidingPeak(window.toNanos(), BUCKETS);
+    demandInWindow = new SlidingCount(window.toNanos(), BUCKETS);
+    lentPeak = new SlidingPeak(window.toNanos(), BUCKETS);
     usedByOthers = new SlidingPeak(window.toNanos(), BUCKETS);
     usedByEach = new SlidingPeak(window.toNanos(), BUCKETS);
   }
 
   /**
-   * Takes what all nodes together may take within a window.
+   * Sets how many units all nodes together may take within a window.
    *
-   * @param newPerRequest for each request that came to any of them
-   * @param newFixed beyond that
+   * @param newPerRequest units for each request that any of them received
+   * @param newFixed units beyond that
    */
   public void setBounds(double newPerRequest, double newFixed) {
     perRequest = newPerRequest;
@@ -96,10 +107,10 @@
   }
 
   /**
-   * Takes what the others tell.
+   * Sets what the other nodes report.
    *
-   * @param told the sum of all that were heard lately
-   * @param nodeCount nodes that there may be, this one included; empty while it is not known
+   * @param told sum of all digests that are still valid
+   * @param nodeCount number of nodes that may exist, including this one; empty while it is unknown
    */
   public void setOthers(BudgetDigest told, OptionalInt nodeCount) {
     others = told;
@@ -107,43 +118,46 @@
   }
 
   /**
-   * Says whether this node has been counting for a whole window. Until then it neither brings in
-   * anything for others nor takes of theirs, since it does not know what it took before.
+   * Sets whether this node has been counting for a whole window. Until then it contributes nothing
+   * to the pool and takes nothing from it, since it does not know what it took before.
    */
   public void setSharing(boolean shares) {
     sharing = shares;
   }
 
-  /** A request came, which widens the budget. */
+  /** Handles a request that this node received; it increases the budget. */
   public void onRequest(long nowNanos) {
     requests.add(nowNanos);
   }
 
   /**
-   * Takes one where this node's part allows it.
+   * Takes one unit if this node's part of the budget allows it.
    *
-   * @param part of what is allowed that it may use
+   * @param part fraction of the allowed units that the caller may use
+   * @return whether a unit was taken
    */
   public boolean tryTake(double part, long nowNanos) {
-    wants.add(nowNanos);
-    wantsInWindow.add(nowNanos);
-    boolean ofOwn = used.sum(nowNanos) + 1 <= part * ownKept(nowNanos);
-    boolean ofLeft = usedLately.sum(nowNanos) + 1 <= part * ofWhatIsLeft(nowNanos);
-    if (!ofOwn && !ofLeft || used.sum(nowNanos) + 1 > leftByOthers(nowNanos)) {
+    demand.add(nowNanos);
+    demandInWindow.add(nowNanos);
+    boolean fromReserve = used.sum(nowNanos) + 1 <= part * reserve(nowNanos);
+    boolean fromPool = usedRecently.sum(nowNanos) + 1 <= part * poolAllowance(nowNanos);
+    if (!fromReserve && !fromPool || used.sum(nowNanos) + 1 > notUsedByOthers(nowNanos)) {
       return false;
     }
     used.add(nowNanos);
-    usedLately.add(nowNanos);
+    usedRecently.add(nowNanos);
     return true;
   }
 
-  /** What this node tells the others; nothing while nobody needs to know. */
+  /**
+   * The digest that this node sends to others; {@link BudgetDigest#NONE} while no node needs it.
+   */
   public BudgetDigest digest(long nowNanos) {
-    double usedElsewhere = usedElsewhere(nowNanos);
-    double kept = keptUnused(nowNanos);
+    double usedByOtherNodes = usedByOtherNodes(nowNanos);
+    double kept = unusedReserve(nowNanos);
     int wanted = wanted(0, nowNanos);
     int taken = used.sum(nowNanos);
-    boolean quiet = taken == 0 && wanted == 0 && usedElsewhere == 0 && !others.inUse();
+    boolean quiet = taken == 0 && wanted == 0 && usedByOtherNodes == 0 && !others.inUse();
     if (quiet || !sharing || nodes.isEmpty()) {
       return BudgetDigest.NONE;
     }
@@ -151,70 +165,78 @@
     return new BudgetDigest(1, requests.sum(nowNanos), taken, wanted, hundredths);
   }
 
-  /** What this node may take within a window, whatever the others take. */
-  private double ownKept(long nowNanos) {
-    return (1 - partLeft(nowNanos)) * ownPart(nowNanos);
+  /** Units that this node may take within a window, whatever the others take. */
+  private double reserve(long nowNanos) {
+    return (1 - lentFraction(nowNanos)) * ownContribution(nowNanos);
   }
 
-  private double keptUnused(long nowNanos) {
-    return Math.max(0, ownKept(nowNanos) - used.sum(nowNanos));
+  private double unusedReserve(long nowNanos) {
+    return Math.max(0, reserve(nowNanos) - used.sum(nowNanos));
   }
 
-  /** What may be taken of what nobody keeps, within the time until all know of it. */
-  private double ofWhatIsLeft(long nowNanos) {
+  /** Units that this node may take from the pool, which nobody reserves, within one round trip. */
+  private double poolAllowance(long nowNanos) {
     if (!sharing || nodes.isEmpty()) {
       return 0;
     }
-    int known = used.sum(nowNanos) - usedLately.sum(nowNanos);
-    double kept = others.kept() / HUNDREDTHS + keptUnused(nowNanos);
-    double left = leftByOthers(nowNanos) - known - kept;
-    return left > 0 ? left * partOfWants(nowNanos) : 0;
+    int known = used.sum(nowNanos) - usedRecently.sum(nowNanos);
+    double kept = others.kept() / HUNDREDTHS + unusedReserve(nowNanos);
+    double left = notUsedByOthers(nowNanos) - known - kept;
+    return left > 0 ? left * shareOfDemand(nowNanos) : 0;
   }
 
   /**
-   * Of all, what others have not taken. It binds also what a node keeps: where requests move from
-   * node to node, each may else take its part of a window of its own.
+   * Units of the whole budget that others have not taken. This bounds the reserve, too: if requests
+   * moved from node to node, each node could otherwise use up the part of a whole window.
    */
-  private double leftByOthers(long nowNanos) {
-    double own = ownPart(nowNanos);
-    return sharing && nodes.isPresent() ? own + partOfOthers() - usedElsewhere(nowNanos) : own;
+  private double notUsedByOthers(long nowNanos) {
+    double own = ownContribution(nowNanos);
+    return sharing && nodes.isPresent()
+        ? own + contributionOfOthers() - usedByOtherNodes(nowNanos)
+        : own;
   }
 
-  private double ownPart(long nowNanos) {
+  private double ownContribution(long nowNanos) {
     return perRequest * requests.sum(nowNanos) + (nodes.isPresent() ? fixed / nodes.getAsInt() : 0);
   }
 
-  /** Nodes that are counted twice while they change relays bring nothing in twice. */
-  private double partOfOthers() {
+  /**
+   * What the other nodes contribute. A node that is counted twice while it changes relays must not
+   * contribute twice.
+   */
+  private double contributionOfOthers() {
     int told = others.nodes();
     int most = nodes.getAsInt() - 1;
-    double once = told > most ? (double) most / told : 1;
-    return once * (perRequest * others.requests() + fixed * told / nodes.getAsInt());
+    double deduplication = told > most ? (double) most / told : 1;
+    return deduplication * (perRequest * others.requests() + fixed * told / nodes.getAsInt());
   }
 
   /**
-   * Which part of its own this node leaves of what it does not want itself: as much of all as
-   * others want, and as they will want in a window once that lasts. A burst of failures comes to
-   * all, and to this node a moment later.
+   * The fraction of its own contribution that this node lends, of what it does not want itself: the
+   * fraction of the whole budget that others want now, or will want within a window once their
+   * demand is sustained. A burst of failures reaches all nodes, and this one a moment later.
    */
-  private double partLeft(long nowNanos) {
-    double own = ownPart(nowNanos);
+  private double lentFraction(long nowNanos) {
+    double own = ownContribution(nowNanos);
     if (!sharing || nodes.isEmpty() || own <= 0) {
       return 0;
     }
-    double wanted = Math.max(others.wanted(), wantedTimes * lastingWants(nowNanos));
-    double unwanted = Math.max(0, 1 - wantsInWindow.sum(nowNanos) / own);
-    return leftToOthers.seen(
-        Math.min(Math.min(MOST_LEFT, wanted / (own + partOfOthers())), unwanted), nowNanos);
+    double wanted =
+        Math.max(others.wanted(), demandPeriodsPerWindow * sustainedDemandOfOthers(nowNanos));
+    double unwanted = Math.max(0, 1 - demandInWindow.sum(nowNanos) / own);
+    return lentPeak.update(
+        Math.min(Math.min(MAX_LENT, wanted / (own + contributionOfOthers())), unwanted), nowNanos);
   }
 
-  /** The least that others were heard to want lately. */
-  private double lastingWants(long nowNanos) {
-    return MOST_WANTED - notWanted.seen(MOST_WANTED - others.wanted(), nowNanos);
+  /** The least demand of others that was reported during the sustained period. */
+  private double sustainedDemandOfOthers(long nowNanos) {
+    return MAX_DEMAND - invertedDemand.update(MAX_DEMAND - others.wanted(), nowNanos);
   }
 
-  /** This node's part of what is left: of its own wants, those that all know of. */
-  private double partOfWants(long nowNanos) {
+  /**
+   * This node's share of the pool. Of its own demand only the part counts that all nodes know of.
+   */
+  private double shareOfDemand(long nowNanos) {
     int settled = wanted(0, nowNanos);
     int all = others.wanted() + settled;
     for (int tenths = 1; tenths <= SETTLING_TENTHS; tenths++) {
@@ -224,17 +246,17 @@
   }
 
   /**
-   * What others have taken within the window, those included that are heard no more: of what these
-   * took, each of those that are left bears its part.
+   * Units that others have taken within the window, including nodes that are not heard any more.
+   * Each remaining node counts an equal part of what the lost ones took.
    */
-  private double usedElsewhere(long nowNanos) {
+  private double usedByOtherNodes(long nowNanos) {
     int heard = others.nodes() + 1;
-    double most = usedByOthers.seen(others.used(), nowNanos);
-    double byEach = usedByEach.seen((double) others.used() / heard, nowNanos);
+    double most = usedByOthers.update(others.used(), nowNanos);
+    double byEach = usedByEach.update((double) others.used() / heard, nowNanos);
     return Math.max(others.used(), Math.min(most, byEach * heard));
   }
 
-  private int wanted(int leftOutTenths, long nowNanos) {
-    return wants.sum(WANTED_TENTHS, leftOutTenths, nowNanos);
+  private int wanted(int skippedTenths, long nowNanos) {
+    return demand.sum(DEMAND_TENTHS, skippedTenths, nowNanos);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedRate.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedRate.java
@@ -6,163 +6,181 @@
 import java.util.random.RandomGenerator;
 
 /**
- * This node's part of a rate that holds over the whole fleet, kept without a trip a request.
- * Permits accrue at the node's part of the rate: by how much it wants against what all tell that
- * they want, so that a node which alone has demand gets nearly all. It answers load that moves
- * between nodes within seconds, and bursts after a quiet time.
+ * This node's part of a rate limit that holds over the whole fleet, kept without a round trip per
+ * request. It is a token bucket whose permits accrue at the node's share of the rate. The share is
+ * this node's demand relative to the demand that all nodes report, so that a node which alone has
+ * demand gets nearly the whole rate. It follows load that moves between nodes within seconds, and
+ * allows bursts after an idle time.
  *
- * <p>Invariant: the parts of all nodes add up to no more than the rate, whoever does not hear whom.
- * A node counts its own demand only once the others have surely been told of it, theirs at once;
- * and it takes no more than the part of the fleet that it hears to keep to the limit, so that a
- * node which hears nobody has an equal part. Permits that nobody has asked for are few over the
- * whole fleet, whatever its size, since they may all be used at the same moment. What is known to
- * have been sent by all within the window bounds what else may happen.
+ * <p>Invariant: the shares of all nodes add up to no more than the rate, whichever nodes hear each
+ * other. A node counts its own demand only once the others have certainly been told of it, and the
+ * demand of others at once. It takes no more than the fraction of the fleet that it hears applying
+ * the limit, so that a node which hears no other gets an equal share. The whole fleet, whatever its
+ * size, holds few permits that no request has used, since all of them may be used at the same
+ * moment. The requests that all nodes are known to have sent within the window bound what a node
+ * may send.
  *
- * <p>Callers see to it that one thread calls at a time.
+ * <p>The caller must make sure that one thread calls at a time.
  */
 public final class SharedRate {
 
-  /** The window in which requests are counted, in buckets of 100 ms. */
+  /** The window in which sent requests are counted, in buckets of 100 ms. */
   private static final int WINDOW_TENTHS = 40;
 
   private static final double WINDOW_SECONDS = WINDOW_TENTHS / 10.0;
 
-  /** Part of what the rate allows in a window that may be sent in it; some come in bursts. */
-  private static final double WINDOW_PART = 1.25;
+  /**
+   * Requests that may be sent in a window, relative to what the rate gives; some come in bursts.
+   */
+  private static final double WINDOW_FACTOR = 1.25;
 
-  /** Demand is counted over so long: longer, it follows load that moves too slowly. */
+  /**
+   * The period over which demand is counted, in tenths of a second. A longer one follows load that
+   * moves too slowly.
+   */
   private static final int DEMAND_TENTHS = 20;
 
-  /** After so long the others know what this node wants: two turns, and the way through relays. */
+  /**
+   * The time, in tenths of a second, after which the other nodes know this node's demand: two
+   * rounds, and the way through relays.
+   */
   private static final int SETTLING_TENTHS = 4;
 
   private static final long SETTLING_NANOS = TimeUnit.MILLISECONDS.toNanos(100L * SETTLING_TENTHS);
 
-  /** Weight of a request that was asked for, against a node that only keeps a permit ready. */
+  /** Weight of one requested permit, relative to a node that only keeps a permit ready. */
   private static final int ASKED_WEIGHT = 16;
 
-  /** Over the whole fleet, one permit and what the rate gives in so long are kept ready. */
+  /** The whole fleet keeps one permit ready, and what the rate gives in this time. */
   private static final double READY_SECONDS = 0.5;
 
-  /** More than so many times as many are given up: some come together by chance. */
-  private static final double MOST_READY_TIMES = 2;
+  /**
+   * Nodes drop permits only when the fleet holds more than this multiple of its target, since some
+   * excess arises by chance.
+   */
+  private static final double MAX_READY_FACTOR = 2;
 
-  /** A node with demand may send at once what its part gives in so long. */
+  /** A node with demand may send at once what its share gives in this time. */
   private static final double BURST_SECONDS = 0.25;
 
-  /** Time beyond that gives nothing: a node that was paused has no claim to it. */
-  private static final long LONGEST_STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  /** Time beyond this accrues no permits, since a node that was paused has no claim to them. */
+  private static final long MAX_STEP_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** A limit of zero is tried so often, since only an answer tells that it has ended. */
-  private static final double LEAST_PER_SECOND = 0.2;
+  /** The rate at which a limit of zero is tried, since only an answer tells that it has ended. */
+  private static final double MIN_PER_SECOND = 0.2;
 
-  /** More than any fleet sends; keeps sums over nodes within their range. */
-  private static final double MOST_PER_SECOND = 1e6;
+  /** More than any fleet sends. It keeps sums over nodes within the range of their type. */
+  private static final double MAX_PER_SECOND = 1e6;
 
-  private static final Duration LONGEST_WAIT = Duration.ofSeconds(5);
+  private static final Duration MAX_WAIT = Duration.ofSeconds(5);
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final RandomGenerator random;
-  private final SlidingCount asked = SlidingCount.ofTenths(DEMAND_TENTHS + SETTLING_TENTHS);
+  private final SlidingCount demand = SlidingCount.ofTenths(DEMAND_TENTHS + SETTLING_TENTHS);
   private final SlidingCount sent = SlidingCount.ofTenths(WINDOW_TENTHS);
   private double perSecond;
   private RateDigest others = RateDigest.NONE;
   private OptionalInt nodes = OptionalInt.empty();
-  private double credit;
-  private boolean begun;
+  private double permits;
+  private boolean started;
   private long accruedNanos;
   private boolean filling;
   private long fillingSinceNanos;
 
   /**
-   * A node that has sent nothing.
+   * Creates the part of a node that has sent nothing.
    *
-   * @param random differs from node to node, so that they do not all send at the same moment
+   * @param random a source that differs from node to node, so that nodes do not all send at the
+   *     same moment
    */
   public SharedRate(RandomGenerator random) {
     this.random = random;
-    this.credit = random.nextDouble();
+    this.permits = random.nextDouble();
   }
 
-  /** Takes the rate that holds over all nodes together. */
+  /** Sets the rate that holds over all nodes together, in requests per second. */
   public void setPerSecond(double limit) {
-    perSecond = Math.max(LEAST_PER_SECOND, Math.min(limit, MOST_PER_SECOND));
+    perSecond = Math.max(MIN_PER_SECOND, Math.min(limit, MAX_PER_SECOND));
   }
 
   /**
-   * Takes what the others tell.
+   * Sets what the other nodes report.
    *
-   * @param told the sum of all that were heard lately
-   * @param nodeCount nodes that there may be, this one included; empty while it is not known
+   * @param told sum of all digests that are still valid
+   * @param nodeCount number of nodes that may exist, including this one; empty while it is unknown
    */
   public void setOthers(RateDigest told, OptionalInt nodeCount) {
     others = told;
     nodes = nodeCount;
   }
 
-  /** A request might be sent. */
+  /** Counts a request that wants a permit. */
   public void onAsked(long nowNanos) {
-    asked.add(nowNanos);
+    demand.add(nowNanos);
   }
 
-  /** Whether a request may be sent now. */
+  /** Returns whether a request may be sent now. */
   public boolean mayTake(long nowNanos) {
     accrue(nowNanos);
-    if (credit < 1) {
+    if (permits < 1) {
       return false;
     }
-    if (others.sent() + sent.sum(nowNanos) + 1 <= mostInWindow()) {
+    if (others.sent() + sent.sum(nowNanos) + 1 <= maxInWindow()) {
       return true;
     }
-    // All that wait for the window would else send in the moment in which it has room again.
-    credit = random.nextDouble();
+    // Otherwise all nodes that wait for the window would send at once when it has room again.
+    permits = random.nextDouble();
     return false;
   }
 
-  private double mostInWindow() {
-    return 1 + WINDOW_PART * WINDOW_SECONDS * perSecond;
+  private double maxInWindow() {
+    return 1 + WINDOW_FACTOR * WINDOW_SECONDS * perSecond;
   }
 
-  /** Takes a permit for a request that is sent now, if it may be. */
+  /** Takes a permit for a request that is sent now, if one is available. */
   public boolean tryTake(long nowNanos) {
     if (!mayTake(nowNanos)) {
       return false;
     }
-    credit--;
+    permits--;
     sent.add(nowNanos);
     return true;
   }
 
   /**
-   * A request is sent now that needs no permit. It takes room in the window alone: one that comes
-   * as often as a permit accrues would else take all, and no other request would ever be sent.
+   * Counts a request that is sent without a permit. It takes room in the window only: a request
+   * that is sent as often as a permit accrues would otherwise use every permit, and no other
+   * request would ever be sent.
    */
   public void onSent(long nowNanos) {
     sent.add(nowNanos);
   }
 
-  /** What this node has sent within the last window. */
+  /** The number of requests that this node sent within the last window. */
   public int sent(long nowNanos) {
     return sent.sum(nowNanos);
   }
 
-  /** What this node tells the others. */
+  /** The digest that this node sends to others. */
   public RateDigest digest(long nowNanos) {
     accrue(nowNanos);
     return new RateDigest(1, weight(wanted(0, nowNanos)), ready(), sent.sum(nowNanos));
   }
 
-  /** About how long it takes until a request may be sent. */
+  /**
+   * An estimate of the time until a request may be sent, capped so that the caller tries again soon
+   * enough.
+   */
   public Duration untilNext(long nowNanos) {
     accrue(nowNanos);
     double rate = rate(nowNanos);
-    double seconds = rate > 0 ? (1 - credit) / rate : LONGEST_WAIT.toSeconds();
+    double seconds = rate > 0 ? (1 - permits) / rate : MAX_WAIT.toSeconds();
     Duration wait = Duration.ofNanos((long) (Math.max(0, seconds) * NANOS_PER_SECOND));
-    return wait.compareTo(LONGEST_WAIT) < 0 ? wait : LONGEST_WAIT;
+    return wait.compareTo(MAX_WAIT) < 0 ? wait : MAX_WAIT;
   }
 
-  private int wanted(int leftOutTenths, long nowNanos) {
-    return asked.sum(DEMAND_TENTHS, leftOutTenths, nowNanos);
+  private int wanted(int skippedTenths, long nowNanos) {
+    return demand.sum(DEMAND_TENTHS, skippedTenths, nowNanos);
   }
 
   private int weight(int requests) {
@@ -170,57 +188,63 @@
   }
 
   private int ready() {
-    return (int) Math.max(0, credit);
+    return (int) Math.max(0, permits);
   }
 
-  private double keptReady() {
+  private double targetReady() {
     return 1 + READY_SECONDS * perSecond;
   }
 
-  private double mostReady() {
-    return MOST_READY_TIMES * keptReady();
+  private double maxReady() {
+    return MAX_READY_FACTOR * targetReady();
   }
 
   private void accrue(long nowNanos) {
-    if (!begun) {
-      begun = true;
+    if (!started) {
+      started = true;
       accruedNanos = nowNanos;
     }
     long passed = Math.max(0, nowNanos - accruedNanos);
-    long step = Math.min(passed, LONGEST_STEP_NANOS);
+    long step = Math.min(passed, MAX_STEP_NANOS);
     accruedNanos += passed;
-    keepReady(nowNanos);
+    updateFilling(nowNanos);
     double rate = rate(nowNanos);
-    double most = (mayKeepAnother(nowNanos) ? 2 : 1) + rate * BURST_SECONDS;
-    credit = Math.max(credit, Math.min(most, credit + rate * step / NANOS_PER_SECOND));
-    giveUpWhatNobodyAsksFor(step, nowNanos);
+    double most = (mayKeepSecondPermit(nowNanos) ? 2 : 1) + rate * BURST_SECONDS;
+    permits = Math.max(permits, Math.min(most, permits + rate * step / NANOS_PER_SECOND));
+    dropExcessPermits(step, nowNanos);
   }
 
-  /** Whether this node wants a permit for a request that may come. */
-  private void keepReady(long nowNanos) {
-    boolean fills = credit < 1 && others.held() < keptReady();
+  /** Updates whether this node wants a permit for a request that may come. */
+  private void updateFilling(long nowNanos) {
+    boolean fills = permits < 1 && others.held() < targetReady();
     if (fills && !filling) {
       fillingSinceNanos = nowNanos;
     }
     filling = fills;
   }
 
-  /** Requests come unevenly: what accrues between two of them is not lost. */
-  private boolean mayKeepAnother(long nowNanos) {
-    return wanted(0, nowNanos) > 0 && others.held() + ready() < mostReady();
+  /**
+   * Returns whether this node may hold more than one permit. Requests come unevenly, and what
+   * accrues between two of them must not be lost.
+   */
+  private boolean mayKeepSecondPermit(long nowNanos) {
+    return wanted(0, nowNanos) > 0 && others.held() + ready() < maxReady();
   }
 
-  /** Requests a second that this node may send. */
+  /** The rate, in requests per second, at which this node may send. */
   private double rate(long nowNanos) {
     if (nodes.isEmpty()) {
       return 0;
     }
-    double heard = Math.min(1, (1.0 + others.nodes()) / nodes.getAsInt());
-    return perSecond * heard * part(nowNanos);
+    double heardFraction = Math.min(1, (1.0 + others.nodes()) / nodes.getAsInt());
+    return perSecond * heardFraction * share(nowNanos);
   }
 
-  /** By what the others have been told; an equal part until they have, which is never more. */
-  private double part(long nowNanos) {
+  /**
+   * This node's share of the heard part of the rate, by the demand that the others know of; an
+   * equal share and no more until they know of it.
+   */
+  private double share(long nowNanos) {
     int now = weight(wanted(0, nowNanos));
     if (now == 0) {
       return 0;
@@ -229,21 +253,23 @@
     return settled > 0 ? (double) settled / (others.weight() + now) : 1.0 / (1 + others.nodes());
   }
 
-  /** What this node wants and has told for long enough. */
+  /** The weight that this node has reported for long enough that all others know of it. */
   private int settledWeight(long nowNanos) {
     int requests = Math.min(wanted(0, nowNanos), wanted(SETTLING_TENTHS, nowNanos));
     boolean settled = filling && nowNanos - fillingSinceNanos >= SETTLING_NANOS;
     return ASKED_WEIGHT * requests + (settled ? 1 : 0);
   }
 
-  /** Where more is kept ready than may be used at once, each node gives its own up by chance. */
-  private void giveUpWhatNobodyAsksFor(long step, long nowNanos) {
+  /**
+   * When the fleet holds more permits than may be used at once, each node drops its own at random.
+   */
+  private void dropExcessPermits(long step, long nowNanos) {
     int all = others.held() + ready();
-    if (ready() == 0 || all <= mostReady() || wanted(0, nowNanos) > 0) {
+    if (ready() == 0 || all <= maxReady() || wanted(0, nowNanos) > 0) {
       return;
     }
-    if (random.nextDouble() < (1 - mostReady() / all) * step / SETTLING_NANOS) {
-      credit = random.nextDouble();
+    if (random.nextDouble() < (1 - maxReady() / all) * step / SETTLING_NANOS) {
+      permits = random.nextDouble();
     }
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingBuckets.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingBuckets.java
@@ -3,21 +3,24 @@
 import java.util.function.IntConsumer;
 
 /**
- * The place of the present in a ring of buckets over a sliding window: up to one bucket more than
- * the window is included, never less. Callers see to it that one thread calls at a time.
+ * The position of the present time in a ring of buckets over a sliding window. The ring covers the
+ * window and up to one bucket more, never less. The caller must make sure that one thread calls at
+ * a time.
  */
 final class SlidingBuckets {
 
   private final long bucketNanos;
   private final int count;
   private final IntConsumer clear;
-  private long newest;
-  private boolean begun;
+  private long newestBucket;
+  private boolean started;
 
   /**
-   * A ring in which nothing has happened.
+   * Creates an empty ring.
    *
-   * @param clear empties the bucket at a place, as its time has passed
+   * @param windowNanos length of the window
+   * @param buckets number of buckets that the window is divided into
+   * @param clear empties the bucket at an index once its time has passed
    */
   SlidingBuckets(long windowNanos, int buckets, IntConsumer clear) {
     this.bucketNanos = windowNanos / buckets;
@@ -25,28 +28,32 @@
     this.clear = clear;
   }
 
-  /** How many buckets there are. */
+  /** The number of buckets in the ring. */
   int count() {
     return count;
   }
 
-  /** Clears the buckets that have passed since the last call; the place of the newest. */
-  int moveTo(long nowNanos) {
+  /**
+   * Clears the buckets whose time has passed since the last call.
+   *
+   * @return the index of the newest bucket
+   */
+  int advanceTo(long nowNanos) {
     long bucket = Math.floorDiv(nowNanos, bucketNanos);
-    if (!begun) {
-      begun = true;
-      newest = bucket;
+    if (!started) {
+      started = true;
+      newestBucket = bucket;
     }
-    long passed = Math.min(bucket - newest, count);
+    long passed = Math.min(bucket - newestBucket, count);
     for (long step = 0; step < passed; step++) {
       clear.accept(Math.floorMod(bucket - step, count));
     }
-    newest = Math.max(newest, bucket);
-    return place(0);
+    newestBucket = Math.max(newestBucket, bucket);
+    return index(0);
   }
 
-  /** The place of the bucket so many before the newest. */
-  int place(int back) {
-    return Math.floorMod(newest - back, count);
+  /** Returns the index of the bucket that lies so many buckets before the newest. */
+  int index(int back) {
+    return Math.floorMod(newestBucket - back, count);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingCount.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingCount.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How often something happened within a sliding window, counted in buckets: up to one bucket more
- * than the window is included, never less. Callers see to it that one thread calls at a time.
+ * The number of events within a sliding window, counted in buckets. It covers the window and up to
+ * one bucket more, never less. The caller must make sure that one thread calls at a time.
  */
 public final class SlidingCount {
 
@@ -12,29 +12,33 @@
   private final int[] counts;
 
   /**
-   * Nothing has happened yet.
+   * Creates a count of no events.
    *
    * @param windowNanos length of the window
-   * @param buckets into how many parts it is divided
+   * @param buckets number of buckets that the window is divided into
    */
   public SlidingCount(long windowNanos, int buckets) {
     this.buckets = new SlidingBuckets(windowNanos, buckets, this::clear);
     this.counts = new int[this.buckets.count()];
   }
 
-  /** A window in buckets of 100 ms. */
+  /**
+   * Creates a window of the given length, in buckets of 100 ms.
+   *
+   * @param tenths length of the window in tenths of a second
+   */
   static SlidingCount ofTenths(int tenths) {
     return new SlidingCount(TimeUnit.MILLISECONDS.toNanos(100L * tenths), tenths);
   }
 
-  /** It happens once. */
+  /** Counts one event. */
   public void add(long nowNanos) {
-    counts[buckets.moveTo(nowNanos)]++;
+    counts[buckets.advanceTo(nowNanos)]++;
   }
 
-  /** How often it happened within the window. */
+  /** The number of events within the window. */
   public int sum(long nowNanos) {
-    buckets.moveTo(nowNanos);
+    buckets.advanceTo(nowNanos);
     int sum = 0;
     for (int count : counts) {
       sum += count;
@@ -42,17 +46,22 @@
     return sum;
   }
 
-  /** How often it happened within so many buckets, the newest of which are left out. */
-  int sum(int taken, int leftOut, long nowNanos) {
-    buckets.moveTo(nowNanos);
+  /**
+   * The number of events within some buckets of the window.
+   *
+   * @param included number of buckets to count
+   * @param skipped number of newest buckets to leave out
+   */
+  int sum(int included, int skipped, long nowNanos) {
+    buckets.advanceTo(nowNanos);
     int sum = 0;
-    for (int back = leftOut; back <= leftOut + taken && back < counts.length; back++) {
-      sum += counts[buckets.place(back)];
+    for (int back = skipped; back <= skipped + included && back < counts.length; back++) {
+      sum += counts[buckets.index(back)];
     }
     return sum;
   }
 
-  private void clear(int place) {
-    counts[place] = 0;
+  private void clear(int index) {
+    counts[index] = 0;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingPeak.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingPeak.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * The highest value that was seen within a sliding window, kept in buckets: up to one bucket more
- * than the window is included, never less. Callers see to it that one thread calls at a time.
+ * The highest value within a sliding window, kept in buckets. It covers the window and up to one
+ * bucket more, never less. The caller must make sure that one thread calls at a time.
  */
 final class SlidingPeak {
 
@@ -16,14 +16,14 @@
     this.peaks = new double[this.buckets.count()];
   }
 
-  private void clear(int place) {
-    peaks[place] = 0;
+  private void clear(int index) {
+    peaks[index] = 0;
   }
 
-  /** Takes the value of now; the highest within the window, this one included. */
-  double seen(double value, long nowNanos) {
-    int place = buckets.moveTo(nowNanos);
-    peaks[place] = Math.max(peaks[place], value);
+  /** Records the present value and returns the highest one within the window. */
+  double update(double value, long nowNanos) {
+    int index = buckets.advanceTo(nowNanos);
+    peaks[index] = Math.max(peaks[index], value);
     return Arrays.stream(peaks).max().orElse(0);
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/limits/AnnouncedLimitTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/limits/AnnouncedLimitTest.java
@@ -11,6 +11,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a wrong limit being in force when answers of an engine overtake each other, or
+ * when digests of other nodes are older than what the engine told this node.
+ */
 class AnnouncedLimitTest {
 
   private final AnnouncedLimit limit = new AnnouncedLimit();
@@ -24,14 +28,14 @@
   }
 
   @Test
-  void answerThatWasMadeBeforeTheLimitWasNamedDoesNotEndIt() {
+  void answerSentBeforeAnnouncementDoesNotEndLimit() {
     assertThat(limit.onLimitAnnounced(2.2, at(0), at(100))).isTrue();
     assertThat(limit.onNoLimitAnnounced(at(50))).isFalse();
     assertThat(limit.perSecond()).hasValue(2.2);
   }
 
   @Test
-  void answerToARequestThatWasSentLaterEndsIt() {
+  void answerToLaterRequestEndsLimit() {
     limit.onLimitAnnounced(2.2, at(0), at(100));
     assertThat(limit.onNoLimitAnnounced(at(101))).isTrue();
     assertThat(limit.perSecond()).isEmpty();
@@ -39,7 +43,7 @@
   }
 
   @Test
-  void itFallsAtOnceAndRisesOnlyByALaterRequest() {
+  void limitFallsAtOnceAndRisesOnlyThroughLaterRequest() {
     limit.onLimitAnnounced(5, at(0), at(100));
     assertThat(limit.onLimitAnnounced(3, at(20), at(120))).isTrue();
     assertThat(limit.onLimitAnnounced(5, at(30), at(130))).isFalse();
@@ -49,7 +53,7 @@
   }
 
   @Test
-  void whatOthersTellIsBelievedWhereThisNodeHeardNothingItself() {
+  void peerReportCountsWhereEngineToldThisNodeNothing() {
     assertThat(limit.onPeerReport(announced(2, 30), at(1_000))).isTrue();
     assertThat(limit.perSecond()).hasValue(2);
     assertThat(
@@ -60,7 +64,7 @@
   }
 
   @Test
-  void whatThisNodeHeardItselfGoesBeforeWhatOthersToldAtAboutTheSameTime() {
+  void ownAnswerBeatsPeerReportOfAboutTheSameTime() {
     limit.onLimitAnnounced(5, at(900), at(1_000));
     assertThat(limit.onPeerReport(announced(2, 100), at(1_200))).isFalse();
     assertThat(
@@ -72,7 +76,7 @@
   }
 
   @Test
-  void oldWordDoesNotBringBackALimitThatHasEnded() {
+  void oldPeerReportDoesNotRestoreEndedLimit() {
     limit.onLimitAnnounced(5, at(900), at(1_000));
     limit.onNoLimitAnnounced(at(1_010));
     assertThat(limit.onPeerReport(announced(5, 100), at(1_200))).isFalse();
@@ -80,7 +84,7 @@
   }
 
   @Test
-  void endIsToldForAWhile() {
+  void endIsReportedForLimitedTime() {
     limit.onLimitAnnounced(5, at(900), at(1_000));
     assertThat(limit.digest(at(1_040))).isEqualTo(announced(5, 40));
     limit.onNoLimitAnnounced(at(1_100));
@@ -90,7 +94,7 @@
   }
 
   @Test
-  void ofTwoWordsTheNewerHoldsAndOfTwoAtTheSameTimeTheLower() {
+  void mergeKeepsNewerLimitAndLowerOfEquallyOld() {
     assertThat(announced(5, 40).and(announced(2, 90))).isEqualTo(announced(5, 40));
     assertThat(announced(5, 40).and(announced(2, 40))).isEqualTo(announced(2, 40));
     assertThat(AnnouncedLimitDigest.NONE.and(announced(2, 40))).isEqualTo(announced(2, 40));
@@ -101,40 +105,42 @@
         .isEqualTo(3);
   }
 
-  private record Answer(OptionalDouble announced, long sentMillis, long cameMillis) {}
+  private record Answer(OptionalDouble announced, long sentMillis, long receivedMillis) {}
 
   /**
-   * Answers come in any order. Whatever was announced last is in force once an answer to a request
-   * which was sent after all of its answers has come, and no limit is believed that was never
-   * announced.
+   * Answers arrive in any order. Whatever limit the engine announced last is in force once the
+   * answer to a request that was sent after all earlier answers has arrived.
    */
   @Property(tries = 200)
   void lastWordOfTheEngineHoldsHoweverAnswersOvertakeEachOther(@ForAll long seed) {
     Random random = new Random(seed);
     List<Answer> answers = new ArrayList<>();
-    double[] numbers = {0, 2, 5};
-    OptionalDouble says = OptionalDouble.empty();
+    double[] possibleLimits = {0, 2, 5};
+    OptionalDouble engineLimit = OptionalDouble.empty();
     for (int millis = 0; millis < 3_000; millis += 20) {
       if (random.nextInt(20) == 0) {
-        int number = random.nextInt(numbers.length + 1);
-        says =
-            number < numbers.length ? OptionalDouble.of(numbers[number]) : OptionalDouble.empty();
+        int choice = random.nextInt(possibleLimits.length + 1);
+        engineLimit =
+            choice < possibleLimits.length
+                ? OptionalDouble.of(possibleLimits[choice])
+                : OptionalDouble.empty();
       }
-      answers.add(new Answer(says, millis - random.nextInt(300), millis + random.nextInt(300)));
+      answers.add(
+          new Answer(engineLimit, millis - random.nextInt(300), millis + random.nextInt(300)));
     }
-    answers.sort((left, right) -> Long.compare(left.cameMillis, right.cameMillis));
-    AnnouncedLimit believed = new AnnouncedLimit();
-    answers.forEach(answer -> take(believed, answer));
-    take(believed, new Answer(says, 3_400, 3_450));
-    assertThat(believed.perSecond()).isEqualTo(says);
+    answers.sort((left, right) -> Long.compare(left.receivedMillis, right.receivedMillis));
+    AnnouncedLimit tracked = new AnnouncedLimit();
+    answers.forEach(answer -> take(tracked, answer));
+    take(tracked, new Answer(engineLimit, 3_400, 3_450));
+    assertThat(tracked.perSecond()).isEqualTo(engineLimit);
   }
 
-  private static void take(AnnouncedLimit believed, Answer answer) {
+  private static void take(AnnouncedLimit tracked, Answer answer) {
     if (answer.announced.isPresent()) {
-      believed.onLimitAnnounced(
-          answer.announced.getAsDouble(), at(answer.sentMillis), at(answer.cameMillis));
+      tracked.onLimitAnnounced(
+          answer.announced.getAsDouble(), at(answer.sentMillis), at(answer.receivedMillis));
     } else {
-      believed.onNoLimitAnnounced(at(answer.sentMillis));
+      tracked.onNoLimitAnnounced(at(answer.sentMillis));
     }
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/limits/RateFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/limits/RateFleet.java
@@ -10,39 +10,39 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Nodes that keep to one rate together, in steps of 10 ms of simulated time: requests come at
- * random, each node tells its digest every 100 ms, what is told comes late and at times not at all,
- * and nodes are cut off and paused. Counts what is sent by sliding window.
+ * Simulates nodes that apply one rate limit together, in steps of 10 ms of simulated time. Requests
+ * arrive at random. Each node sends its digest every 100 ms; digests arrive late or get lost, and
+ * nodes are cut off and paused. Counts the requests that are sent within a sliding window.
  */
 final class RateFleet {
 
   static final double WINDOW_SECONDS = 4;
 
   private static final int STEP_MILLIS = 10;
-  private static final int TURN_MILLIS = 100;
+  private static final int ROUND_MILLIS = 100;
   private static final long LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
-  /** How a node decides. */
-  interface Part {
+  /** Decides for one node which requests may be sent. */
+  interface Limiter {
 
-    /** What it tells now. */
+    /** The digest that the node sends now. */
     RateDigest digest(long nowNanos);
 
-    /** What it hears of all others. */
+    /** Receives the sum of the digests of all other nodes. */
     void hear(RateDigest others, OptionalInt nodes);
 
-    /** A request comes; whether it is sent. */
+    /** Handles a request that arrives and returns whether it is sent. */
     boolean request(long nowNanos);
 
-    /** It sends a call of its own, which needs no permit. */
+    /** Sends a call of the node itself, which needs no permit. */
     default void ownCall(long nowNanos) {}
   }
 
-  /** By what all want. */
-  static Part byDemand(double perSecond, Random random) {
+  /** Creates a limiter that shares the rate by the demand of all nodes. */
+  static Limiter demandShare(double perSecond, Random random) {
     SharedRate rate = new SharedRate(new SplittableRandom(random.nextLong()));
     rate.setPerSecond(perSecond);
-    return new Part() {
+    return new Limiter() {
       @Override
       public RateDigest digest(long nowNanos) {
         return rate.digest(nowNanos);
@@ -66,9 +66,9 @@
     };
   }
 
-  /** An equal part for each node that there may be, in even distances. */
-  static Part equalPart(double perSecond, Random random) {
-    return new Part() {
+  /** Creates a limiter that gives each node an equal share of the rate, at even intervals. */
+  static Limiter equalShare(double perSecond, Random random) {
+    return new Limiter() {
       private double credit = random.nextDouble();
       private long atNanos;
       private OptionalInt nodes = OptionalInt.empty();
@@ -97,116 +97,116 @@
     };
   }
 
-  /** Makes a node's part. */
+  /** Creates the limiter of a node. */
   interface Policy {
-    Part part(double perSecond, Random random);
+    Limiter create(double perSecond, Random random);
   }
 
-  /** How many requests a second come to a node. */
+  /** The number of requests per second that arrive at a node. */
   interface Demand {
     double perSecond(int node, double seconds);
   }
 
-  /** What goes wrong, by node and time. */
-  interface Trouble {
-    /** The group of nodes that hear each other; negative while a node is paused. */
+  /** The faults, by node and time. */
+  interface Faults {
+    /** The group of nodes that hear each other; negative while the node is paused. */
     int group(int node, double seconds);
   }
 
-  static final Trouble NONE = (node, seconds) -> 0;
+  static final Faults NO_FAULTS = (node, seconds) -> 0;
 
   private final int nodes;
   private final Random random;
-  private final List<Part> parts = new ArrayList<>();
-  private final List<Deque<Told>> told = new ArrayList<>();
-  private final double lost;
+  private final List<Limiter> limiters = new ArrayList<>();
+  private final List<Deque<SentDigest>> digests = new ArrayList<>();
+  private final double lossRate;
   private final List<Long> sentAt = new ArrayList<>();
   private int ownCallMillis = Integer.MAX_VALUE;
   private int ownCalls;
 
-  private record Told(long atNanos, RateDigest digest, int group) {}
+  private record SentDigest(long atNanos, RateDigest digest, int group) {}
 
-  RateFleet(int nodes, double perSecond, Policy policy, double lost, long seed) {
+  RateFleet(int nodes, double perSecond, Policy policy, double lossRate, long seed) {
     this.nodes = nodes;
-    this.lost = lost;
+    this.lossRate = lossRate;
     this.random = new Random(seed);
     for (int node = 0; node < nodes; node++) {
-      parts.add(policy.part(perSecond, random));
-      told.add(new ArrayDeque<>());
+      limiters.add(policy.create(perSecond, random));
+      digests.add(new ArrayDeque<>());
     }
   }
 
-  /** From now on the first node sends a call of its own every so many ms. */
+  /** From now on, makes the first node send a call of its own at this interval. */
   void callEvery(int millis) {
     ownCallMillis = millis;
   }
 
-  /** How many calls of its own the first node has sent. */
+  /** The number of calls of its own that the first node has sent. */
   int ownCalls() {
     return ownCalls;
   }
 
-  void play(double seconds, Demand demand, Trouble trouble) {
+  void run(double seconds, Demand demand, Faults faults) {
     for (int millis = 0; millis < seconds * 1_000; millis += STEP_MILLIS) {
       long now = TimeUnit.MILLISECONDS.toNanos(millis) + 1;
       double time = millis / 1_000.0;
       for (int node = 0; node < nodes; node++) {
-        if (trouble.group(node, time) < 0) {
+        if (faults.group(node, time) < 0) {
           continue;
         }
-        if ((millis / STEP_MILLIS + node) % (TURN_MILLIS / STEP_MILLIS) == 0) {
-          tell(node, trouble.group(node, time), now);
+        if ((millis / STEP_MILLIS + node) % (ROUND_MILLIS / STEP_MILLIS) == 0) {
+          sendDigest(node, faults.group(node, time), now);
         }
         requests(node, demand.perSecond(node, time), now);
       }
       if (millis % ownCallMillis == 0 && millis > 0) {
-        parts.get(0).ownCall(now);
+        limiters.get(0).ownCall(now);
         sentAt.add(now);
         ownCalls++;
       }
       if (millis % (2 * STEP_MILLIS) == 0) {
-        hearAll(trouble, time, now);
+        deliverDigests(faults, time, now);
       }
     }
   }
 
-  private void tell(int node, int group, long now) {
-    if (random.nextDouble() >= lost) {
+  private void sendDigest(int node, int group, long now) {
+    if (random.nextDouble() >= lossRate) {
       long delay = TimeUnit.MILLISECONDS.toNanos(10 + random.nextInt(100));
-      told.get(node).addLast(new Told(now + delay, parts.get(node).digest(now), group));
+      digests.get(node).addLast(new SentDigest(now + delay, limiters.get(node).digest(now), group));
     }
   }
 
   private void requests(int node, double rate, long now) {
     double expected = rate * STEP_MILLIS / 1_000;
-    int come = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
-    for (int request = 0; request < come; request++) {
-      if (parts.get(node).request(now)) {
+    int arrivals = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
+    for (int request = 0; request < arrivals; request++) {
+      if (limiters.get(node).request(now)) {
         sentAt.add(now);
       }
     }
   }
 
-  private void hearAll(Trouble trouble, double time, long now) {
+  private void deliverDigests(Faults faults, double time, long now) {
     List<RateDigest> heard = new ArrayList<>();
     List<Integer> groups = new ArrayList<>();
     for (int node = 0; node < nodes; node++) {
-      Deque<Told> of = told.get(node);
-      Told latest = null;
-      for (Told any : of) {
-        latest = any.atNanos <= now ? any : latest;
+      Deque<SentDigest> received = digests.get(node);
+      SentDigest latest = null;
+      for (SentDigest candidate : received) {
+        latest = candidate.atNanos <= now ? candidate : latest;
       }
-      while (latest != null && of.peekFirst() != latest) {
-        of.removeFirst();
+      while (latest != null && received.peekFirst() != latest) {
+        received.removeFirst();
       }
       boolean fresh = latest != null && now - latest.atNanos < LIFETIME_NANOS;
       heard.add(fresh ? latest.digest : RateDigest.NONE);
       groups.add(fresh ? latest.group : Integer.MIN_VALUE);
     }
     for (int node = 0; node < nodes; node++) {
-      int group = trouble.group(node, time);
+      int group = faults.group(node, time);
       if (group >= 0) {
-        parts.get(node).hear(others(heard, groups, node, group), OptionalInt.of(nodes));
+        limiters.get(node).hear(others(heard, groups, node, group), OptionalInt.of(nodes));
       }
     }
   }
@@ -228,7 +228,7 @@
     return new RateDigest(count, weight, held, sent);
   }
 
-  /** The most that was sent within any window that begins later than a moment. */
+  /** The highest number of requests sent within any window that begins after the given time. */
   int worstWindow(double sinceSeconds) {
     long window = (long) (WINDOW_SECONDS * 1e9);
     int worst = 0;
@@ -246,13 +246,13 @@
     return worst;
   }
 
-  /** How many were sent within a time. */
+  /** The number of requests sent between two times. */
   int sent(double fromSeconds, double toSeconds) {
     return (int)
         sentAt.stream().filter(at -> at >= fromSeconds * 1e9 && at < toSeconds * 1e9).count();
   }
 
-  /** What engines are promised. */
+  /** The most requests per window that engines are promised, for a limit in requests per second. */
   static int allowed(double perSecond) {
     return (int) (1.5 * perSecond * WINDOW_SECONDS + 5);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/limits/SharedRateTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/limits/SharedRateTest.java
@@ -14,25 +14,24 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Nodes that keep to a rate together without asking each other. Each alone must not be too small a
- * part of it where it has all the demand, and all together must never be too much: with an equal
- * part each, which is kept for a request that may come, 63 nodes sent 39 requests in 4 s where 18
- * are allowed, when a burst came to all of them; and one node with all the demand had an eighth of
- * the rate among 8.
+ * Guards against nodes that share a rate without asking each other and together exceed the bound,
+ * or leave a large part of the rate unused. With equal shares, each kept for a request that may
+ * come, 63 nodes sent 39 requests in 4 s where 18 are allowed, when a burst reached all of them;
+ * and one node with all the demand got an eighth of the rate among 8 nodes.
  */
 class SharedRateTest {
 
-  /** From when on the bound is promised. */
-  private static final double CONTACT_SECONDS = 3;
+  /** The time after the start from which the bound is promised. */
+  private static final double SETTLED_SECONDS = 3;
 
-  private static final double LOST = 0.05;
+  private static final double LOSS_RATE = 0.05;
   private static final double[] LIMITS = {0, 0.3, 2.2, 7.1, 20};
 
   private static int worst(RateFleet fleet) {
-    return fleet.worstWindow(CONTACT_SECONDS);
+    return fleet.worstWindow(SETTLED_SECONDS);
   }
 
-  /** Demand that comes and goes, at any of the nodes or at all. */
+  /** Demand that comes and goes, at any one of the nodes or at all of them. */
   private static RateFleet.Demand anyDemand(int nodes, double limit, Random random) {
     double most = 4 * limit + 4;
     int period = 3 + random.nextInt(10);
@@ -49,8 +48,8 @@
     };
   }
 
-  /** Nodes are cut into groups, and some are paused, each for a while. */
-  private static RateFleet.Trouble anyTrouble(Random random) {
+  /** Cuts the nodes into groups and pauses some of them, each for a while. */
+  private static RateFleet.Faults anyFaults(Random random) {
     double cutFrom = 5 + random.nextInt(10);
     double cutFor = random.nextInt(8);
     int groups = 2 + random.nextInt(3);
@@ -68,8 +67,8 @@
     Random random = new Random(seed);
     int nodes = new int[] {1, 2, 8, 9, 30, 63}[random.nextInt(6)];
     double limit = LIMITS[random.nextInt(LIMITS.length)];
-    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::byDemand, LOST, seed);
-    fleet.play(25, anyDemand(nodes, limit, random), anyTrouble(random));
+    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::demandShare, LOSS_RATE, seed);
+    fleet.run(25, anyDemand(nodes, limit, random), anyFaults(random));
     assertThat(worst(fleet))
         .as("%d nodes, %.1f a second", nodes, limit)
         .isLessThanOrEqualTo(RateFleet.allowed(limit));
@@ -77,59 +76,62 @@
 
   @ParameterizedTest
   @CsvSource({"2.2", "7.1", "20"})
-  void burstAtAllOfAManyNodesAfterAQuietTimeStaysWithinTheBound(double limit) {
+  void burstAtAllNodesAfterAnIdleTimeStaysWithinTheBound(double limit) {
     int nodes = 338;
-    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::byDemand, LOST, 1);
-    fleet.play(20, (node, seconds) -> (seconds < 10 ? 0 : 40 * limit) / nodes, RateFleet.NONE);
+    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::demandShare, LOSS_RATE, 1);
+    fleet.run(20, (node, seconds) -> (seconds < 10 ? 0 : 40 * limit) / nodes, RateFleet.NO_FAULTS);
     assertThat(worst(fleet)).isLessThanOrEqualTo(RateFleet.allowed(limit));
   }
 
-  /** The simulated load tells a safe way from one that is not. */
+  /** Checks that the simulated load tells a safe algorithm from an unsafe one. */
   @Test
-  void equalPartsThatAreKeptForARequestThatMayComeDoNotStayWithinIt() {
+  void equalSharesKeptInReserveExceedTheBound() {
     int nodes = 63;
-    RateFleet fleet = new RateFleet(nodes, 2.2, RateFleet::equalPart, LOST, 1);
-    fleet.play(40, (node, seconds) -> (seconds < 30 ? 0 : 88.0) / nodes, RateFleet.NONE);
+    RateFleet fleet = new RateFleet(nodes, 2.2, RateFleet::equalShare, LOSS_RATE, 1);
+    fleet.run(40, (node, seconds) -> (seconds < 30 ? 0 : 88.0) / nodes, RateFleet.NO_FAULTS);
     assertThat(worst(fleet)).isGreaterThan(RateFleet.allowed(2.2));
   }
 
-  /** Nine tenths of what the limit allows, of what comes beyond that. */
+  /**
+   * The node must send at least nine tenths of what the limit allows, when demand exceeds the
+   * limit.
+   */
   @ParameterizedTest
   @CsvSource({"1,7.1", "8,7.1", "63,7.1", "338,7.1", "8,20", "63,20", "338,20"})
-  void nodeThatAloneHasDemandUsesNearlyAll(int nodes, double limit) {
-    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::byDemand, LOST, 2);
-    fleet.play(40, (node, seconds) -> node == 0 ? 4 * limit : 0, RateFleet.NONE);
+  void onlyNodeWithDemandUsesNearlyTheWholeRate(int nodes, double limit) {
+    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::demandShare, LOSS_RATE, 2);
+    fleet.run(40, (node, seconds) -> node == 0 ? 4 * limit : 0, RateFleet.NO_FAULTS);
     assertThat(fleet.sent(10, 40) / (30 * limit)).isGreaterThan(0.9);
     assertThat(worst(fleet)).isLessThanOrEqualTo(RateFleet.allowed(limit));
   }
 
-  /** A limit that is above what comes costs callers next to nothing. */
+  /** A limit above the demand must cost callers next to nothing. */
   @ParameterizedTest
   @CsvSource({"1,20", "8,20", "63,20", "8,100"})
   void nodeWhoseDemandIsWithinTheLimitIsServed(int nodes, double limit) {
-    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::byDemand, LOST, 7);
-    fleet.play(40, (node, seconds) -> node == 0 ? 0.8 * limit : 0, RateFleet.NONE);
+    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::demandShare, LOSS_RATE, 7);
+    fleet.run(40, (node, seconds) -> node == 0 ? 0.8 * limit : 0, RateFleet.NO_FAULTS);
     assertThat(fleet.sent(10, 40) / (30 * 0.8 * limit)).isGreaterThan(0.9);
   }
 
   @ParameterizedTest
   @CsvSource({"8,7.1", "8,20", "9,20"})
-  void nodesThatAllHaveDemandUseNearlyAll(int nodes, double limit) {
-    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::byDemand, LOST, 3);
-    fleet.play(40, (node, seconds) -> 4 * limit / nodes, RateFleet.NONE);
+  void nodesThatAllHaveDemandUseNearlyTheWholeRate(int nodes, double limit) {
+    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::demandShare, LOSS_RATE, 3);
+    fleet.run(40, (node, seconds) -> 4 * limit / nodes, RateFleet.NO_FAULTS);
     assertThat(fleet.sent(10, 40) / (30 * limit)).isGreaterThan(0.9);
   }
 
   @Test
-  void nodeThatHearsNobodyHasAnEqualPart() {
-    RateFleet fleet = new RateFleet(8, 20, RateFleet::byDemand, LOST, 4);
-    fleet.play(40, (node, seconds) -> 20, (node, seconds) -> node);
+  void nodeThatHearsNoOtherGetsAnEqualShare() {
+    RateFleet fleet = new RateFleet(8, 20, RateFleet::demandShare, LOSS_RATE, 4);
+    fleet.run(40, (node, seconds) -> 20, (node, seconds) -> node);
     assertThat(worst(fleet)).isLessThanOrEqualTo(RateFleet.allowed(20));
     assertThat(fleet.sent(10, 40) / (30 * 20.0)).isGreaterThan(0.9);
   }
 
   @Test
-  void nodesThatDoNotKnowOfTheLimitLeaveTheOthersTheirEqualPart() {
+  void nodesThatDoNotKnowTheLimitLeaveOthersTheirEqualShare() {
     SharedRate rate = new SharedRate(new SplittableRandom(5));
     rate.setPerSecond(20);
     rate.setOthers(new RateDigest(1, 0, 0, 0), OptionalInt.of(8));
@@ -143,7 +145,7 @@
   }
 
   @Test
-  void nothingIsSentWhileTheNumberOfNodesIsNotKnown() {
+  void nothingIsSentWhileTheNodeCountIsUnknown() {
     SharedRate rate = new SharedRate(new SplittableRandom(6));
     rate.setPerSecond(20);
     for (long millis = 0; millis < 5_000; millis += 5) {
@@ -154,7 +156,7 @@
   }
 
   @Test
-  void timeInWhichANodeWasPausedGivesItNothing() {
+  void pausedTimeAccruesNoPermits() {
     SharedRate rate = new SharedRate(new SplittableRandom(7));
     rate.setPerSecond(20);
     rate.setOthers(RateDigest.NONE, OptionalInt.of(1));
@@ -170,9 +172,11 @@
     assertThat(taken).isLessThanOrEqualTo(6);
   }
 
-  /** Decisions are made on one thread and sends begin on others, each with its own reading. */
+  /**
+   * One thread makes decisions and other threads begin to send, each with its own clock reading.
+   */
   @Test
-  void readingsOfTheClockThatComeInAnotherOrderGiveNothing() {
+  void clockReadingsOutOfOrderAccrueNoExtraPermits() {
     SharedRate rate = new SharedRate(new SplittableRandom(9));
     rate.setPerSecond(20);
     rate.setOthers(RateDigest.NONE, OptionalInt.of(1));
@@ -186,12 +190,13 @@
   }
 
   /**
-   * After engines had ceased to name a limit of zero it took ten seconds until a request told so,
-   * and 2,366 of 2,688 requests were served where 95 in 100 are promised: the lists that a node
-   * asks for each five seconds take the one permit that accrues in that time.
+   * A node asks engines for lists every five seconds. These calls took the one permit that accrues
+   * in that time, so that after engines had stopped announcing a limit of zero it took ten seconds
+   * until a request found out, and 2,366 of 2,688 requests were served where 95 in 100 are
+   * promised.
    */
   @Test
-  void ownCallsDoNotKeepALimitOfZeroFromBeingTried() {
+  void ownCallsDoNotPreventTryingALimitOfZero() {
     SharedRate rate = new SharedRate(new SplittableRandom(10));
     rate.setPerSecond(0);
     rate.setOthers(RateDigest.NONE, OptionalInt.of(1));
@@ -207,19 +212,21 @@
     assertThat(taken).isGreaterThan(3);
   }
 
-  /** Nor does it in a fleet, and the calls still count in the bound. */
+  /**
+   * Own calls must leave room for requests in a fleet as well, and still count towards the bound.
+   */
   @ParameterizedTest
   @CsvSource({"1,0", "3,0", "8,0", "63,0", "3,0.3", "3,2.2", "8,7.1"})
   void ownCallsLeaveRoomForRequestsAndStayWithinTheBound(int nodes, double limit) {
-    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::byDemand, LOST, 11);
+    RateFleet fleet = new RateFleet(nodes, limit, RateFleet::demandShare, LOSS_RATE, 11);
     fleet.callEvery(5_000);
-    fleet.play(100, (node, seconds) -> 1 + limit, RateFleet.NONE);
+    fleet.run(100, (node, seconds) -> 1 + limit, RateFleet.NO_FAULTS);
     assertThat(worst(fleet)).isLessThanOrEqualTo(RateFleet.allowed(limit));
     assertThat(fleet.sent(0, 100) - fleet.ownCalls()).isGreaterThanOrEqualTo(10);
   }
 
   @Test
-  void callsThatNeedNoPermitTakeOneAllTheSame() {
+  void callsWithoutPermitCountInTheWindow() {
     SharedRate rate = new SharedRate(new SplittableRandom(8));
     rate.setPerSecond(2);
     rate.setOthers(RateDigest.NONE, OptionalInt.of(1));
