--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/CrashReport.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/CrashReport.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * What one node tells another of a content that may crash engines. Immutable.
+ * What one node reports to another about a request content that may crash engines. Immutable.
  *
- * @param content the content
- * @param confirmedAgoMillis how old the evidence is for which it is in quarantine whatever is heard
- *     of the engines later; {@link #NEVER} when it is not
- * @param stored whether the store holds it
- * @param askedAgoMillis how long ago anybody sent it, or an engine crashed under it
- * @param goodAgoMillis how long ago it was answered well; {@link #NEVER} when it was not
+ * @param content fingerprint of the content
+ * @param confirmedAgoMillis age in ms of the evidence by which the content stays in quarantine,
+ *     whatever is heard of the engines later; {@link #NEVER} when there is none
+ * @param stored whether the store holds the content
+ * @param askedAgoMillis time in ms since a caller last requested the content, or an engine crashed
+ *     under it
+ * @param goodAgoMillis time in ms since an engine last answered it successfully; {@link #NEVER}
+ *     when none did
  * @param crashes engines that seemed to crash under it
  */
 public record CrashReport(
@@ -21,10 +23,10 @@
     long goodAgoMillis,
     List<SeenCrash> crashes) {
 
-  /** Instead of an age. */
+  /** The age of an event that has not happened. */
   public static final long NEVER = -1;
 
-  /** A private copy. */
+  /** Copies the list. */
   public CrashReport {
     crashes = List.copyOf(crashes);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
@@ -16,78 +16,92 @@
 import org.fallturn.core.membership.RendezvousHash;
 
 /**
- * Contents under which engines have crashed, as this node and the others have seen it, and which of
- * them are not sent any more.
+ * Tracks the request contents under which engines have crashed, as seen by this node and others,
+ * and decides which of them are no longer sent.
  *
- * <p>A content is clear until two engines have crashed under it, then suspected, and in quarantine
- * from the third. A broken connection is taken for a crash only once the engine is found to be
- * gone. A content is released by one good answer, by signs of life of engines that only seemed to
- * crash, or once nobody has asked for it for {@link #LIFETIME_MILLIS}. A crash also ends whatever
- * else ran at the engine: what a content in quarantine explains is held against no other that has
- * fewer crashes.
+ * <p>A content is clear until two engines have crashed under it; then it is suspected, and with the
+ * third crash it goes into quarantine. A broken connection counts as a crash only once the engine
+ * is found to be gone. A content is released by one successful answer, by signs of life from
+ * engines that only seemed to crash, or once no caller has requested it for {@link
+ * #LIFETIME_MILLIS}. A crash also ends all other requests at the engine. Therefore a crash that a
+ * quarantined content explains does not count against a content with fewer crashes.
  *
- * <p>Invariant: no more than {@link #MAX_SUSPECTS} contents are kept, and those with most crashes
- * stay. Pure; one thread calls.
+ * <p>Invariant: at most {@link #MAX_SUSPECTS} contents are kept, and those with the most crashes
+ * stay. Performs no I/O; one thread calls.
  */
 public final class Quarantine {
 
   /**
-   * How long a content is remembered that nobody asks for: the operators' engines are replaced by
-   * newer versions, which may bear it, in the course of hours, and callers' retries take seconds.
+   * How long a content is remembered that no caller requests. The operators replace engines by
+   * newer versions, which may withstand the content, over hours, while callers retry within
+   * seconds.
    */
   public static final long LIFETIME_MILLIS = TimeUnit.MINUTES.toMillis(30);
 
-  /** Some 300 bytes each; one crash brings as many as the engine has requests, 48 at most. */
+  /**
+   * The most contents to keep, some 300 bytes each. One crash adds as many as the engine has
+   * requests, 48 at most.
+   */
   static final int MAX_SUSPECTS = 1_024;
 
-  /** Contents in one message, some 100 bytes each, so that it stays within a few KB. */
+  /**
+   * The most contents in one message, some 100 bytes each, so that the message stays within a few
+   * KB.
+   */
   private static final int MAX_REPORTS = 24;
 
   /**
-   * A change is told for so long, in each turn of 100 ms, as messages may be lost. At once only
-   * what is more than one broken connection.
+   * How long a change is reported, in each round of 100 ms, since messages may be lost. Only
+   * evidence beyond a single broken connection is reported at once.
    */
-  private static final long TELL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long REPORT_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** How often those in quarantine are told to nodes that may have missed it or just started. */
+  /**
+   * How often quarantined contents are reported again, for nodes that missed a report or have just
+   * started.
+   */
   private static final long REPEAT_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** The node that saw the last crash writes at once, one of the others when it did not. */
-  private static final long OTHERS_STORE_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /**
+   * The node that saw the last crash writes to the store at once. Another node writes after this
+   * time if that node has not.
+   */
+  private static final long BACKUP_STORE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private static final long STORE_SPREAD_MILLIS = 2_000;
-  private static final long STORE_AGAIN_NANOS = TimeUnit.SECONDS.toNanos(5);
+  private static final long STORE_RETRY_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** Longer than a change is told, and than an engine may be heard after its last sign. */
-  private static final long REST_NANOS = TimeUnit.SECONDS.toNanos(2);
+  /** Longer than a change is reported, and than a report of an engine's last sign of life takes. */
+  private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  private static final long SWEEP_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long EXPIRY_CHECK_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private final String node;
   private final Map<RequestFingerprint, Suspect> suspects = new LinkedHashMap<>();
 
   /**
-   * Those of which anything may change by itself or be told. The others, of which one crash is
-   * known, are most: they are not looked through at each tick and message.
+   * Suspects that may change with time or are due to be reported. Most suspects have one known
+   * crash and are not in this set, so that ticks and messages do not visit them.
    */
   private final Set<Suspect> active = new LinkedHashSet<>();
 
   private final Map<Integer, Integer> sketches = new HashMap<>();
 
   /**
-   * What this node has sent and has not ended, by request: copies of one content are found here.
+   * Contents that this node has sent and whose requests have not ended, by request id. They show
+   * whether a copy of a content is in flight.
    */
   private final Map<String, RequestContent> sent = new HashMap<>();
 
   private final List<QuarantineStatusChange> changes = new ArrayList<>();
   private final List<RequestFingerprint> released = new ArrayList<>();
-  private final List<Suspect> culprits = new ArrayList<>();
-  private boolean explainedAll = true;
-  private long sweptNanos;
-  private boolean news;
+  private final List<Suspect> quarantinedSuspects = new ArrayList<>();
+  private boolean explanationsCurrent = true;
+  private long expiryCheckedNanos;
+  private boolean urgentChange;
 
   /**
-   * Knows of nothing yet.
+   * Creates a quarantine without contents.
    *
    * @param node name of this node
    */
@@ -95,123 +109,136 @@
     this.node = node;
   }
 
-  /** What is thought of a content that is about to be sent. */
+  /** The status of a content that is about to be sent. */
   public QuarantineStatus status(RequestContent content, long nowNanos) {
     Suspect suspect = find(content);
     if (suspect == null) {
       return QuarantineStatus.CLEAR;
     }
     suspect.onAsked(nowNanos);
-    boolean underWay = sent.values().stream().anyMatch(copy -> copy.is(suspect.content()));
-    return suspect.standingAt(underWay, nowNanos);
+    boolean inFlight = sent.values().stream().anyMatch(copy -> copy.is(suspect.content()));
+    return suspect.statusForSend(inFlight, nowNanos);
   }
 
-  /** Costs nothing where no content with the same sketch is known. */
+  /**
+   * Finds the suspect for a content. Computes no fingerprint when no known content has the same
+   * sketch.
+   */
   private Suspect find(RequestContent content) {
     return sketches.containsKey(content.sketch()) ? suspects.get(content.fingerprint()) : null;
   }
 
-  /** A content is sent to an engine under a request's id. */
+  /**
+   * Handles that this node sends a content to an engine.
+   *
+   * @param requestId id of the request
+   */
   public void onSent(RequestContent content, String requestId) {
     sent.put(requestId, content);
   }
 
-  /** What was sent under a request's id has ended, however it did. */
+  /** Handles that a request has ended, with whatever outcome. */
   public void onEnded(String requestId) {
     sent.remove(requestId);
   }
 
-  /** An engine seems to have crashed while it had the content: its connection broke. */
+  /**
+   * Handles that an engine's connection broke while the engine had the content: it may have
+   * crashed.
+   */
   public void onCrash(RequestContent content, String engineId, long nowNanos) {
     Suspect suspect = suspect(content.fingerprint(), nowNanos, nowNanos);
     suspect.onAsked(nowNanos);
     if (suspect.onCrash(engineId, nowNanos, true, false, nowNanos)) {
-      onLearned(suspect);
+      onNewEvidence(suspect);
     }
-    dropWhenEmpty(suspect);
+    dropWithoutEvidence(suspect);
   }
 
-  /** An engine is found to be gone: whatever it seemed to crash under, it did crash under. */
+  /**
+   * Handles that an engine is found to be gone. All contents that it seemed to crash under count as
+   * crashes.
+   */
   public void onEngineGone(String engineId, long nowNanos) {
     for (Suspect suspect : suspects.values()) {
       if (suspect.onGone(engineId, nowNanos)) {
-        onLearned(suspect);
-        notice(suspect);
-        suspect.storeAtOnce(nowNanos);
+        onNewEvidence(suspect);
+        recordStatusChange(suspect);
+        suspect.requestStoreNow(nowNanos);
       }
     }
   }
 
   /**
-   * The list of engines has changed.
+   * Handles a change of the engine directory.
    *
-   * @param listed whether an engine is in it
+   * @param listed tells whether an engine id is in the directory
    */
   public void onDirectory(Predicate<String> listed, long nowNanos) {
     active.stream()
-        .flatMap(suspect -> suspect.unsure().stream())
+        .flatMap(suspect -> suspect.undecidedEngines().stream())
         .filter(listed.negate())
         .distinct()
         .toList()
         .forEach(engineId -> onEngineGone(engineId, nowNanos));
   }
 
-  /** Engines that should be asked now whether they live. */
+  /** The ids of engines that should be probed now for signs of life. */
   public Set<String> takeProbes(long nowNanos) {
     Set<String> due = new HashSet<>();
     active.forEach(suspect -> due.addAll(suspect.takeProbes(nowNanos)));
     return due;
   }
 
-  private void onLearned(Suspect suspect) {
+  private void onNewEvidence(Suspect suspect) {
     active.add(suspect);
-    news |= suspect.matters();
-    explainedAll = false;
-    suspect.setCulprits(culprits);
+    urgentChange |= suspect.isSignificant();
+    explanationsCurrent = false;
+    suspect.explainBy(quarantinedSuspects);
   }
 
   /**
-   * Finds anew which crashes are explained, from the content with most crashes to the least. Done
-   * at ticks only, since a crash ends many requests at once.
+   * Recomputes which crashes are explained, from the content with the most crashes to the one with
+   * the fewest. Runs at ticks only, since one crash ends many requests at once.
    */
-  private void explainAll() {
+  private void updateExplanations() {
     List<Suspect> ordered = new ArrayList<>(suspects.values());
     ordered.sort(Comparator.comparing(Suspect::crashCount).reversed());
-    culprits.clear();
+    quarantinedSuspects.clear();
     for (Suspect suspect : ordered) {
-      if (suspect.setCulprits(culprits)) {
+      if (suspect.explainBy(quarantinedSuspects)) {
         active.add(suspect);
       }
       if (suspect.status() == QuarantineStatus.QUARANTINED) {
-        culprits.add(suspect);
+        quarantinedSuspects.add(suspect);
       }
     }
   }
 
-  /** The content was answered well. */
+  /** Handles that an engine answered the content successfully. */
   public void onSuccess(RequestContent content, long nowNanos) {
     Suspect suspect = find(content);
     if (suspect == null) {
       return;
     }
-    if (!suspect.matters()) {
+    if (!suspect.isSignificant()) {
       drop(suspect);
     } else if (suspect.onSuccess(nowNanos, nowNanos)) {
       active.add(suspect);
-      news = true;
-      notice(suspect);
+      urgentChange = true;
+      recordStatusChange(suspect);
       release(suspect);
     }
   }
 
   private void release(Suspect suspect) {
-    if (suspect.storedInVain()) {
+    if (suspect.isStoredNeedlessly()) {
       suspect.onRemovedFromStore();
       released.add(suspect.content());
     }
   }
 
-  /** Another node tells of a content. */
+  /** Handles the report of another node. */
   public void onPeerReport(CrashReport report, long nowNanos) {
     if (report.askedAgoMillis() > LIFETIME_MILLIS) {
       return;
@@ -219,26 +246,26 @@
     long askedNanos = at(report.askedAgoMillis(), nowNanos);
     Suspect suspect = suspect(report.content(), askedNanos, nowNanos);
     suspect.onAsked(askedNanos);
-    boolean learned = false;
+    boolean evidenceIsNew = false;
     if (report.goodAgoMillis() != CrashReport.NEVER) {
-      learned = suspect.onSuccess(at(report.goodAgoMillis(), nowNanos), nowNanos);
+      evidenceIsNew = suspect.onSuccess(at(report.goodAgoMillis(), nowNanos), nowNanos);
     }
     for (SeenCrash crash : report.crashes()) {
       long crashedNanos = at(crash.ageMillis(), nowNanos);
-      learned |=
+      evidenceIsNew |=
           suspect.onCrash(crash.engineId(), crashedNanos, false, crash.engineGone(), nowNanos);
     }
     if (report.confirmedAgoMillis() != CrashReport.NEVER) {
-      learned |= suspect.confirm(at(report.confirmedAgoMillis(), nowNanos), nowNanos);
+      evidenceIsNew |= suspect.confirm(at(report.confirmedAgoMillis(), nowNanos), nowNanos);
     }
     if (report.stored() && !suspect.stored()) {
       suspect.onStored(nowNanos);
     }
-    if (learned) {
-      onLearned(suspect);
+    if (evidenceIsNew) {
+      onNewEvidence(suspect);
     }
-    notice(suspect);
-    dropWhenEmpty(suspect);
+    recordStatusChange(suspect);
+    dropWithoutEvidence(suspect);
   }
 
   private static long at(long agoMillis, long nowNanos) {
@@ -246,9 +273,9 @@
   }
 
   /**
-   * The store holds it, from before this process began.
+   * Handles a quarantined content that the store has held since before this process started.
    *
-   * @param ageMillis how long ago it was written
+   * @param ageMillis time in ms since it was written
    */
   public void onLoadedFromStore(RequestFingerprint content, long ageMillis, long nowNanos) {
     long writtenNanos = at(ageMillis, nowNanos);
@@ -257,31 +284,34 @@
       suspect.onStored(writtenNanos);
       active.add(suspect);
     }
-    notice(suspect);
-    dropWhenEmpty(suspect);
+    recordStatusChange(suspect);
+    dropWithoutEvidence(suspect);
   }
 
-  /** The store holds it, from before this process began, in quarantine or under suspicion. */
-  public void onLoadedFromStore(QuarantineStore.StoredContent held, long nowNanos) {
-    if (held.engines().isEmpty()) {
-      onLoadedFromStore(held.content(), held.ageMillis(), nowNanos);
+  /**
+   * Handles a quarantined or suspected content that the store has held since before this process
+   * started.
+   */
+  public void onLoadedFromStore(QuarantineStore.StoredContent stored, long nowNanos) {
+    if (stored.engines().isEmpty()) {
+      onLoadedFromStore(stored.content(), stored.ageMillis(), nowNanos);
       return;
     }
-    long writtenNanos = at(held.ageMillis(), nowNanos);
-    Suspect suspect = suspect(held.content(), writtenNanos, nowNanos);
-    boolean learned = false;
-    for (String engineId : held.engines()) {
-      learned |= suspect.onCrash(engineId, writtenNanos, false, true, nowNanos);
+    long writtenNanos = at(stored.ageMillis(), nowNanos);
+    Suspect suspect = suspect(stored.content(), writtenNanos, nowNanos);
+    boolean evidenceIsNew = false;
+    for (String engineId : stored.engines()) {
+      evidenceIsNew |= suspect.onCrash(engineId, writtenNanos, false, true, nowNanos);
     }
-    if (learned) {
-      suspect.onSuspicionStored(held.engines());
-      onLearned(suspect);
+    if (evidenceIsNew) {
+      suspect.onSuspicionStored(stored.engines());
+      onNewEvidence(suspect);
     }
-    notice(suspect);
-    dropWhenEmpty(suspect);
+    recordStatusChange(suspect);
+    dropWithoutEvidence(suspect);
   }
 
-  /** The store has taken it. */
+  /** Handles that the store has written the content. */
   public void onStored(RequestFingerprint content, long nowNanos) {
     Suspect suspect = suspects.get(content);
     if (suspect != null) {
@@ -290,45 +320,45 @@
   }
 
   /**
-   * Lets time pass; called several times a second.
+   * Applies the changes that come with time. Called several times a second.
    *
-   * @param lastHeard when an engine was heard last by any node
+   * @param lastHeard the time in ns at which any node last heard an engine, by engine id
    */
   public void onTick(Function<String, OptionalLong> lastHeard, long nowNanos) {
     for (Suspect suspect : active) {
-      if (suspect.forgive(lastHeard)) {
-        explainedAll = false;
+      if (suspect.removeCrashesOfLiveEngines(lastHeard)) {
+        explanationsCurrent = false;
       }
     }
-    if (!explainedAll) {
-      explainedAll = true;
-      explainAll();
+    if (!explanationsCurrent) {
+      explanationsCurrent = true;
+      updateExplanations();
     }
     for (Suspect suspect : List.copyOf(active)) {
       suspect.confirmWhenSettled(nowNanos);
-      settle(suspect);
-      if (suspect.restsSince(nowNanos - REST_NANOS)) {
+      refresh(suspect);
+      if (suspect.isIdleSince(nowNanos - IDLE_NANOS)) {
         active.remove(suspect);
       }
     }
-    if (nowNanos - sweptNanos >= SWEEP_NANOS) {
-      sweptNanos = nowNanos;
-      lapse(nowNanos);
+    if (nowNanos - expiryCheckedNanos >= EXPIRY_CHECK_NANOS) {
+      expiryCheckedNanos = nowNanos;
+      expire(nowNanos);
     }
   }
 
-  private void settle(Suspect suspect) {
-    notice(suspect);
+  private void refresh(Suspect suspect) {
+    recordStatusChange(suspect);
     release(suspect);
-    dropWhenEmpty(suspect);
+    dropWithoutEvidence(suspect);
   }
 
-  private void lapse(long nowNanos) {
+  private void expire(long nowNanos) {
     long lifetime = TimeUnit.MILLISECONDS.toNanos(LIFETIME_MILLIS);
     for (Suspect suspect : List.copyOf(suspects.values())) {
       if (nowNanos - suspect.askedNanos() > lifetime) {
-        suspect.lapse();
-        settle(suspect);
+        suspect.expire();
+        refresh(suspect);
       }
     }
   }
@@ -352,8 +382,8 @@
     return added;
   }
 
-  private void dropWhenEmpty(Suspect suspect) {
-    if (!suspect.says()) {
+  private void dropWithoutEvidence(Suspect suspect) {
+    if (!suspect.hasEvidence()) {
       drop(suspect);
     }
   }
@@ -361,63 +391,71 @@
   private void drop(Suspect suspect) {
     active.remove(suspect);
     if (suspects.remove(suspect.content()) != null) {
-      explainedAll = false;
+      explanationsCurrent = false;
       sketches.computeIfPresent(
           suspect.content().sketch(), (sketch, count) -> count == 1 ? null : count - 1);
     }
   }
 
-  private void notice(Suspect suspect) {
+  private void recordStatusChange(Suspect suspect) {
     if (suspect.takeChange()) {
       changes.add(
           new QuarantineStatusChange(suspect.content(), suspect.status(), suspect.engines()));
     }
   }
 
-  /** Changes of what is thought of contents, since the last call. */
+  /** The status changes since the last call. */
   public List<QuarantineStatusChange> takeChanges() {
     List<QuarantineStatusChange> taken = List.copyOf(changes);
     changes.clear();
     return taken;
   }
 
-  /** Whether anything was learned since the last call that the others should hear at once. */
+  /**
+   * Returns whether there was new evidence since the last call that other nodes should hear of at
+   * once.
+   */
   public boolean takeUrgentChange() {
-    boolean taken = news;
-    news = false;
+    boolean taken = urgentChange;
+    urgentChange = false;
     return taken;
   }
 
   /**
-   * What is due to be told to the other nodes, those in quarantine first.
+   * The reports that are due to be sent to other nodes, quarantined contents first.
    *
-   * @param passesOn whether others hear what this node was told only from it
+   * @param reportsForOthers whether other nodes receive what this node was told only through this
+   *     node
    */
-  public List<CrashReport> takeReports(boolean passesOn, long nowNanos) {
+  public List<CrashReport> takeReports(boolean reportsForOthers, long nowNanos) {
     if (active.isEmpty()) {
       return List.of();
     }
     return active.stream()
-        .sorted(Comparator.comparing(Suspect::status).reversed().thenComparing(Suspect::toldNanos))
-        .filter(suspect -> suspect.takeTellDue(TELL_NANOS, REPEAT_NANOS, passesOn, nowNanos))
+        .sorted(
+            Comparator.comparing(Suspect::status).reversed().thenComparing(Suspect::reportedNanos))
+        .filter(
+            suspect ->
+                suspect.takeReportDue(REPORT_NANOS, REPEAT_NANOS, reportsForOthers, nowNanos))
         .limit(MAX_REPORTS)
         .map(suspect -> suspect.report(nowNanos))
         .toList();
   }
 
-  /** Contents in quarantine that the store should hold, as far as this node is to see to it. */
+  /** The quarantined contents that this node should write to the store now. */
   public List<RequestFingerprint> takeUnstored(long nowNanos) {
     return active.stream()
         .filter(suspect -> suspect.status() == QuarantineStatus.QUARANTINED)
-        .filter(suspect -> suspect.takeStoreDue(othersPause(suspect), STORE_AGAIN_NANOS, nowNanos))
+        .filter(
+            suspect -> suspect.takeStoreDue(backupStoreDelay(suspect), STORE_RETRY_NANOS, nowNanos))
         .map(Suspect::content)
         .toList();
   }
 
   /**
-   * Contents that have come under suspicion, with the engines that crashed under each, which the
-   * store should hold as far as this node is to see to it: a process that ends would else take what
-   * it has counted with it. What one engine crashed under is left out, as that is most.
+   * The suspected contents that this node should write to the store, with the engines that crashed
+   * under each. Otherwise a process that ends would lose its count. Contents with a single crash
+   * are left out, since they are the majority.
    */
   public Map<RequestFingerprint, Set<String>> takeUnstoredSuspects() {
     Map<RequestFingerprint, Set<String>> due = new HashMap<>();
@@ -427,21 +465,21 @@
     return due;
   }
 
-  /** A different one for each node, so that one writes and the others hear of it. */
-  private long othersPause(Suspect suspect) {
+  /** A delay that differs from node to node, so that one node writes and the others hear of it. */
+  private long backupStoreDelay(Suspect suspect) {
     long rank = RendezvousHash.weight(suspect.content().digest(), node);
     long spread = Long.remainderUnsigned(rank, STORE_SPREAD_MILLIS);
-    return OTHERS_STORE_NANOS + TimeUnit.MILLISECONDS.toNanos(spread);
+    return BACKUP_STORE_NANOS + TimeUnit.MILLISECONDS.toNanos(spread);
   }
 
-  /** Contents that were released and that the store need not hold any more. */
+  /** The released contents that should be removed from the store. */
   public List<RequestFingerprint> takeReleased() {
     List<RequestFingerprint> taken = List.copyOf(released);
     released.clear();
     return taken;
   }
 
-  /** How many contents are in quarantine. */
+  /** The number of contents in quarantine. */
   public int quarantined() {
     return (int)
         active.stream().filter(suspect -> suspect.status() == QuarantineStatus.QUARANTINED).count();
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStatus.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStatus.java
@@ -1,12 +1,12 @@
 package org.fallturn.core.quarantine;
 
-/** What is thought of a content, from least to most that speaks against it. */
+/** The status of a request content, ordered by how much evidence speaks against it. */
 public enum QuarantineStatus {
-  /** Nothing, or no more than chance explains. */
+  /** There is no evidence against it, or no more than chance explains. */
   CLEAR(true),
-  /** Several engines have crashed under it; it is sent where the next crash ends least. */
+  /** Several engines have crashed under it. It is sent where another crash does the least harm. */
   SUSPECTED(true),
-  /** So many engines have crashed under it that it is not sent any more. */
+  /** So many engines have crashed under it that it is no longer sent. */
   QUARANTINED(false);
 
   private final boolean sendable;
@@ -15,7 +15,7 @@
     this.sendable = sendable;
   }
 
-  /** Whether it may be sent to an engine. */
+  /** Returns whether the content may be sent to an engine. */
   public boolean sendable() {
     return sendable;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStatusChange.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStatusChange.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What this node thinks of a content has changed.
+ * A change of the status that this node assigns to a content.
  *
- * @param content the content
- * @param status what is thought of it from now on
- * @param engines ids of the engines that crashed under it, as far as they are known
+ * @param content fingerprint of the content
+ * @param status the new status
+ * @param engines ids of the engines that crashed under the content, as far as they are known
  */
 public record QuarantineStatusChange(
     RequestFingerprint content, QuarantineStatus status, List<String> engines) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStore.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStore.java
@@ -5,50 +5,52 @@
 import org.fallturn.core.port.table.StoreException;
 
 /**
- * Port: the contents in quarantine, and those under suspicion, that outlast every process. Calls
- * block their thread for a bounded time; one thread calls.
+ * Port to the store that holds the contents in quarantine, and those under suspicion, beyond the
+ * end of every process. Calls block their thread for a bounded time. One thread calls.
  */
 public interface QuarantineStore {
 
   /**
    * A content that the store holds.
    *
-   * @param ageMillis how long ago it was written last
-   * @param engines engines that crashed under it; empty where it is in quarantine whatever is known
+   * @param content fingerprint of the content
+   * @param ageMillis time in ms since it was last written
+   * @param engines ids of the engines that crashed under it; empty when it is in quarantine,
+   *     whatever else is known
    */
   record StoredContent(RequestFingerprint content, long ageMillis, Set<String> engines) {
 
-    /** A private copy. */
+    /** Copies the set. */
     public StoredContent {
       engines = Set.copyOf(engines);
     }
 
-    /** A content in quarantine. */
+    /** Creates an entry for a content in quarantine. */
     public StoredContent(RequestFingerprint content, long ageMillis) {
       this(content, ageMillis, Set.of());
     }
   }
 
-  /** Every content that the store holds. */
+  /** Reads all contents that the store holds. */
   List<StoredContent> read() throws StoreException;
 
   /**
-   * Holds a content in quarantine from now on.
+   * Stores a content as quarantined.
    *
    * @throws StoreException when no answer came; the write may still take effect
    */
   void put(RequestFingerprint content) throws StoreException;
 
   /**
-   * Holds a content under suspicion, which is in quarantine once it has crashed another engine.
+   * Stores a content as suspected. It goes into quarantine once it has crashed another engine.
    *
-   * @param engines engines that crashed under it, at least one
+   * @param engines ids of the engines that crashed under it, at least one
    * @throws StoreException when no answer came; the write may still take effect
    */
   void putSuspect(RequestFingerprint content, Set<String> engines) throws StoreException;
 
   /**
-   * Holds a content no longer, neither in quarantine nor under suspicion.
+   * Removes a content from the store, whether quarantined or suspected.
    *
    * @throws StoreException when no answer came; the write may still take effect
    */
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/RequestContent.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/RequestContent.java
@@ -6,13 +6,15 @@
 import org.apache.commons.codec.digest.Blake3;
 
 /**
- * What a caller asks for, apart from the id and the headers of one attempt: target, caller and
- * body. Its fingerprint is computed when it is first asked for, which for most requests is never.
- * One thread calls.
+ * The content of a request: its target, caller and body, without the id and the headers of one
+ * attempt. The fingerprint is computed on first use, which for most requests never happens. One
+ * thread calls.
  */
 public final class RequestContent {
 
-  /** Of the hash, 96 bits are kept: too many for two contents of a fleet ever to share them. */
+  /**
+   * Bytes of the hash that are kept: with 96 bits, no two contents of a fleet ever share a digest.
+   */
   private static final int DIGEST_BYTES = 12;
 
   private static final int SKETCH_FACTOR = 31;
@@ -23,10 +25,10 @@
   private RequestFingerprint fingerprint;
 
   /**
-   * The content of one request.
+   * Creates the content of one request.
    *
    * @param target method, host, path and query
-   * @param caller who sends it, as far as the request says; empty when it does not
+   * @param caller the sender, as far as the request names it; empty when it does not
    * @param body the whole body; not copied
    */
   public RequestContent(String target, String caller, byte[] body) {
@@ -35,17 +37,17 @@
     this.body = body;
   }
 
-  /** Memory that the body takes. */
+  /** The size of the body in bytes. */
   public int bytes() {
     return body.length;
   }
 
-  /** Costs no look at the body; equal for equal contents. */
+  /** A cheap hash that does not read the body; equal for equal contents. */
   public int sketch() {
     return SKETCH_FACTOR * target.hashCode() + body.length;
   }
 
-  /** Equal for equal contents only. */
+  /** The fingerprint; equal only for equal contents. */
   public RequestFingerprint fingerprint() {
     if (fingerprint == null) {
       fingerprint = new RequestFingerprint(sketch(), digest());
@@ -53,25 +55,29 @@
     return fingerprint;
   }
 
-  /** Whether it is the content of a fingerprint; costs no look at the body of most others. */
-  public boolean is(RequestFingerprint known) {
-    return known.sketch() == sketch() && known.equals(fingerprint());
+  /**
+   * Returns whether the fingerprint is that of this content. For most other contents this does not
+   * read the body.
+   */
+  public boolean is(RequestFingerprint other) {
+    return other.sketch() == sketch() && other.equals(fingerprint());
   }
 
   /**
-   * By a hash in plain Java: the first use of the platform's own, which looks for its providers,
-   * took 70 ms of processor time in each process, on the thread that decides.
+   * Computes the hash in plain Java. The first use of the platform's own hash searches for security
+   * providers, which took 70 ms of processor time in each process, on the thread that dispatches
+   * requests.
    */
   private String digest() {
     Blake3 hash = Blake3.initHash();
-    add(hash, target.getBytes(StandardCharsets.UTF_8));
-    add(hash, caller.getBytes(StandardCharsets.UTF_8));
-    add(hash, body);
+    update(hash, target.getBytes(StandardCharsets.UTF_8));
+    update(hash, caller.getBytes(StandardCharsets.UTF_8));
+    update(hash, body);
     return HexFormat.of().formatHex(hash.doFinalize(DIGEST_BYTES));
   }
 
-  /** Lengths go first, so that no two lists of fields give the same bytes. */
-  private static void add(Blake3 hash, byte[] field) {
+  /** Adds a field after its length, so that no two lists of fields produce the same bytes. */
+  private static void update(Blake3 hash, byte[] field) {
     hash.update(ByteBuffer.allocate(Integer.BYTES).putInt(field.length).array());
     hash.update(field);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/RequestFingerprint.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/RequestFingerprint.java
@@ -3,11 +3,11 @@
 import java.util.Locale;
 
 /**
- * Tells the content of one request from that of others, whatever ids they bear. Immutable.
+ * Identifies the content of a request, whatever id the request has. Immutable.
  *
  * @param sketch a cheap hash that most other contents do not share
- * @param digest the content's cryptographic hash in hex, so that nobody can make a content that is
- *     taken for another caller's
+ * @param digest the cryptographic hash of the content in hex, so that nobody can craft a content
+ *     that is mistaken for that of another caller
  */
 public record RequestFingerprint(int sketch, String digest) {
 
@@ -15,9 +15,9 @@
   private static final int SKETCH_DIGITS = 8;
 
   /**
-   * Reads what {@link #toString} wrote.
+   * Parses the result of {@link #toString}.
    *
-   * @throws IllegalArgumentException when it is no fingerprint
+   * @throws IllegalArgumentException when the text is no fingerprint
    */
   public static RequestFingerprint parse(String text) {
     if (text.length() <= SKETCH_DIGITS + 1 || text.charAt(SKETCH_DIGITS) != '-') {
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/SeenCrash.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/SeenCrash.java
@@ -1,10 +1,10 @@
 package org.fallturn.core.quarantine;
 
 /**
- * An engine that seemed to crash under a content, told to other nodes.
+ * An engine that seemed to crash under a content, as reported to other nodes.
  *
- * @param engineId the engine
- * @param ageMillis how long ago
- * @param engineGone whether the engine was found to be gone since
+ * @param engineId id of the engine
+ * @param ageMillis time in ms since the crash
+ * @param engineGone whether the engine has since been found to be gone
  */
 public record SeenCrash(String engineId, long ageMillis, boolean engineGone) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Suspect.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Suspect.java
@@ -14,51 +14,65 @@
 import java.util.stream.Stream;
 
 /**
- * What speaks for and against one content.
+ * The evidence for and against one request content.
  *
- * <p>Invariant: a crash before the last good answer does not count, since a content that crashes
- * every engine is never answered well. One thread calls.
+ * <p>Invariant: a crash before the last successful answer does not count, since a content that
+ * crashes every engine is never answered successfully. One thread calls.
  */
 final class Suspect {
 
-  /** The operators' bound: a content under which so many engines ended is to be held back. */
+  /**
+   * The bound that the operators set: a content under which so many engines crashed is no longer
+   * sent.
+   */
   private static final int CRASHES_TO_QUARANTINE = 3;
 
-  /** One crash may be chance, a second seldom is: one in so many engines crashes in a second. */
+  /**
+   * One crash may be chance; a second one under the same content seldom is, since only one in many
+   * engines crashes within a second.
+   */
   private static final int CRASHES_TO_SUSPECT = 2;
 
   /**
-   * Engines of one rack end within some ms when it loses power; the crashes of one content are
-   * apart by the time it takes to send and begin it, some 100 ms between the first and the third.
+   * Crashes within this time have one cause. The engines of a rack go down within a few ms when it
+   * loses power. The crashes of one content are apart by the time that it takes to send and begin
+   * it, some 100 ms between the first and the third.
    */
   private static final long ONE_CAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
   /**
-   * An engine that is heard so long after it seemed to crash has not crashed. Longer than what it
-   * said before is under way: 25 ms until it is noticed, 250 ms until others have told of it.
+   * An engine that is heard more than this time after it seemed to crash has not crashed. What it
+   * sent before can arrive late, but less late than this: 25 ms until it is noticed, and 250 ms
+   * until other nodes have reported it.
    */
   private static final long ALIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** After which a verdict stands whatever is heard later: twice the time to hear of a sign. */
+  /**
+   * The time after which a quarantine is confirmed and holds whatever is heard later: twice the
+   * time to hear a sign of life.
+   */
   private static final long CONFIRM_NANOS = 2 * ALIVE_NANOS;
 
-  /** The store is told again of what is still asked for, well before it lapses there. */
+  /**
+   * How often the store entry of a content that callers still request is renewed, well before it
+   * expires there.
+   */
   private static final long RENEW_NANOS =
       TimeUnit.MILLISECONDS.toNanos(Quarantine.LIFETIME_MILLIS / 3);
 
-  /** An engine that answers its first probes is there; its connection broke for another reason. */
+  /** An engine that answers its first probes is alive; its connection broke for another reason. */
   private static final int MAX_PROBES = 3;
 
-  /** A probe that says nothing is repeated after so long, some round trips to an engine. */
+  /** The time after which an unanswered probe is repeated: some round trips to an engine. */
   private static final long PROBE_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** Longer than any change is told. */
+  /** Longer than any change is reported. */
   private static final long LONG_AGO_NANOS = TimeUnit.HOURS.toNanos(1);
 
   private final RequestFingerprint content;
   private final Map<String, Crash> crashes = new HashMap<>();
-  private final Set<String> explained = new HashSet<>();
-  private OptionalLong goodNanos = OptionalLong.empty();
+  private final Set<String> explainedEngines = new HashSet<>();
+  private OptionalLong succeededNanos = OptionalLong.empty();
   private OptionalLong confirmedNanos = OptionalLong.empty();
   private OptionalLong storedNanos = OptionalLong.empty();
   private OptionalLong storeDueNanos = OptionalLong.empty();
@@ -66,24 +80,24 @@
   private long askedNanos;
   private long changedNanos;
   private long seenHereNanos;
-  private long toldNanos;
+  private long reportedNanos;
   private QuarantineStatus status = QuarantineStatus.CLEAR;
-  private boolean matters;
-  private boolean heldBack;
-  private QuarantineStatus noticed = QuarantineStatus.CLEAR;
+  private boolean significant;
+  private boolean wasQuarantined;
+  private QuarantineStatus announcedStatus = QuarantineStatus.CLEAR;
 
-  /** An engine that seemed to crash, and whether this node saw it. */
+  /** An engine that seemed to crash. */
   private static final class Crash {
 
     private final long atNanos;
-    private final boolean own;
+    private final boolean seenHere;
     private boolean engineGone;
     private int probes;
     private long probedNanos;
 
-    Crash(long atNanos, boolean own, boolean engineGone) {
+    Crash(long atNanos, boolean seenHere, boolean engineGone) {
       this.atNanos = atNanos;
-      this.own = own;
+      this.seenHere = seenHere;
       this.engineGone = engineGone;
     }
 
@@ -105,7 +119,7 @@
     this.askedNanos = askedNanos;
     this.changedNanos = nowNanos;
     this.seenHereNanos = nowNanos - LONG_AGO_NANOS;
-    this.toldNanos = nowNanos;
+    this.reportedNanos = nowNanos;
   }
 
   RequestFingerprint content() {
@@ -117,40 +131,42 @@
   }
 
   /**
-   * What is thought of it when it is to be sent now. While engines seem to have crashed under it,
-   * one copy at a time is sent from here; and under suspicion none until it is known whether the
-   * last one ended its engine. With others under way it would crash more engines than are
-   * tolerated.
+   * The status that applies if the content is to be sent now. Once engines seem to have crashed
+   * under it, this node sends one copy at a time, and none while it is suspected until it is known
+   * whether the last copy crashed its engine. Otherwise copies in flight would crash more engines
+   * than are tolerated.
    *
-   * @param underWay whether this node has sent a copy that has not ended
+   * @param inFlight whether this node has sent a copy whose request has not ended
    */
-  QuarantineStatus standingAt(boolean underWay, long nowNanos) {
-    long undecided = undecided(nowNanos);
-    boolean besideAnother = underWay && countedCrashes().count() + undecided >= CRASHES_TO_SUSPECT;
-    boolean waits = besideAnother || status == QuarantineStatus.SUSPECTED && undecided > 0;
+  QuarantineStatus statusForSend(boolean inFlight, long nowNanos) {
+    long undecidedCrashes = undecidedCrashes(nowNanos);
+    boolean otherCopyInFlight =
+        inFlight && countedCrashes().count() + undecidedCrashes >= CRASHES_TO_SUSPECT;
+    boolean waits =
+        otherCopyInFlight || status == QuarantineStatus.SUSPECTED && undecidedCrashes > 0;
     return waits ? QuarantineStatus.QUARANTINED : status;
   }
 
-  /** Connections that broke just now, of engines that may live. */
-  private long undecided(long nowNanos) {
+  /** The number of connections that broke just now, to engines that may still be alive. */
+  private long undecidedCrashes(long nowNanos) {
     return crashes.values().stream()
         .filter(crash -> !crash.engineGone && nowNanos - crash.atNanos < ALIVE_NANOS)
         .count();
   }
 
-  /** To be called after each change of what speaks for or against it. */
-  private void weigh() {
-    status = weighed();
-    heldBack |= status == QuarantineStatus.QUARANTINED;
-    matters |= crashes.size() >= CRASHES_TO_SUSPECT || confirmed();
+  /** Updates the status. Must be called after each change of the evidence. */
+  private void updateStatus() {
+    status = computeStatus();
+    wasQuarantined |= status == QuarantineStatus.QUARANTINED;
+    significant |= crashes.size() >= CRASHES_TO_SUSPECT || confirmed();
   }
 
-  private QuarantineStatus weighed() {
+  private QuarantineStatus computeStatus() {
     if (confirmed()) {
       return QuarantineStatus.QUARANTINED;
     }
     List<Long> counted = countedCrashes().map(crash -> crash.getValue().atNanos).toList();
-    if (counted.size() >= CRASHES_TO_QUARANTINE && apart(counted)) {
+    if (counted.size() >= CRASHES_TO_QUARANTINE && areSpreadInTime(counted)) {
       return QuarantineStatus.QUARANTINED;
     }
     return counted.size() >= CRASHES_TO_SUSPECT
@@ -159,14 +175,14 @@
   }
 
   private Stream<Map.Entry<String, Crash>> countedCrashes() {
-    return sureCrashes().filter(crash -> !explained.contains(crash.getKey()));
+    return certainCrashes().filter(crash -> !explainedEngines.contains(crash.getKey()));
   }
 
   private boolean confirmed() {
     return confirmedNanos.isPresent();
   }
 
-  private static boolean apart(List<Long> times) {
+  private static boolean areSpreadInTime(List<Long> times) {
     long first = times.get(0);
     long least = 0;
     long most = 0;
@@ -177,22 +193,22 @@
     return most - least >= ONE_CAUSE_NANOS;
   }
 
-  /** Engines that are gone since they seemed to crash under it. */
+  /** The ids of engines that seemed to crash under the content and are gone since. */
   List<String> engines() {
-    return sureCrashes().map(Map.Entry::getKey).toList();
+    return certainCrashes().map(Map.Entry::getKey).toList();
   }
 
-  private Stream<Map.Entry<String, Crash>> sureCrashes() {
+  private Stream<Map.Entry<String, Crash>> certainCrashes() {
     return crashes.entrySet().stream().filter(crash -> crash.getValue().engineGone);
   }
 
   int crashCount() {
-    return (int) sureCrashes().count();
+    return (int) certainCrashes().count();
   }
 
-  /** Whether anything is known that others should hear. */
-  boolean says() {
-    return confirmed() || goodNanos.isPresent() || !crashes.isEmpty();
+  /** Returns whether there is any evidence that other nodes should hear of. */
+  boolean hasEvidence() {
+    return confirmed() || succeededNanos.isPresent() || !crashes.isEmpty();
   }
 
   boolean stored() {
@@ -203,38 +219,53 @@
     return askedNanos;
   }
 
-  /** Whether this was news. */
-  boolean onCrash(String engineId, long atNanos, boolean own, boolean engineGone, long nowNanos) {
+  /**
+   * Handles a crash, real or apparent.
+   *
+   * @param seenHere whether this node saw it
+   * @param engineGone whether the engine was found to be gone
+   * @return whether this is new evidence
+   */
+  boolean onCrash(
+      String engineId, long atNanos, boolean seenHere, boolean engineGone, long nowNanos) {
     Crash known = crashes.get(engineId);
-    if (known == null ? goodSince(atNanos) : known.engineGone || !engineGone) {
+    if (known == null ? succeededSince(atNanos) : known.engineGone || !engineGone) {
       return false;
     }
     if (known == null) {
-      crashes.put(engineId, new Crash(atNanos, own, engineGone));
+      crashes.put(engineId, new Crash(atNanos, seenHere, engineGone));
     } else {
       known.engineGone = true;
     }
     changedNanos = nowNanos;
-    if (own) {
+    if (seenHere) {
       seenHereNanos = nowNanos;
     }
-    weigh();
+    updateStatus();
     return true;
   }
 
-  /** The engine is gone. Whether this was news. */
+  /**
+   * Handles that an engine is gone.
+   *
+   * @return whether this is new evidence
+   */
   boolean onGone(String engineId, long nowNanos) {
     Crash known = crashes.get(engineId);
-    return known != null && onCrash(engineId, known.atNanos, known.own, true, nowNanos);
+    return known != null && onCrash(engineId, known.atNanos, known.seenHere, true, nowNanos);
   }
 
-  /** Whether nothing has changed since a time, and nothing will by itself. */
-  boolean restsSince(long nanos) {
-    return status != QuarantineStatus.QUARANTINED && changedNanos - nanos < 0 && unsure().isEmpty();
+  /**
+   * Returns whether nothing has changed since the given time, and nothing will change with time.
+   */
+  boolean isIdleSince(long nanos) {
+    return status != QuarantineStatus.QUARANTINED
+        && changedNanos - nanos < 0
+        && undecidedEngines().isEmpty();
   }
 
-  /** Engines that only seem to have crashed, as far as is known. */
-  List<String> unsure() {
+  /** The ids of engines that, as far as is known, only seem to have crashed. */
+  List<String> undecidedEngines() {
     return crashes.entrySet().stream()
         .filter(crash -> !crash.getValue().engineGone)
         .map(Map.Entry::getKey)
@@ -242,11 +273,12 @@
   }
 
   /**
-   * Engines that should be asked now whether they live. One broken connection is not worth a
-   * question; with two engines it is, to the node that saw one of them.
+   * The ids of engines that should be probed now for signs of life. One broken connection does not
+   * justify a probe. With two, the node that saw one of them probes.
    */
   List<String> takeProbes(long nowNanos) {
-    if (crashes.size() < CRASHES_TO_SUSPECT || crashes.values().stream().noneMatch(c -> c.own)) {
+    if (crashes.size() < CRASHES_TO_SUSPECT
+        || crashes.values().stream().noneMatch(c -> c.seenHere)) {
       return List.of();
     }
     return crashes.entrySet().stream()
@@ -255,55 +287,66 @@
         .toList();
   }
 
-  private boolean goodSince(long nanos) {
-    return goodNanos.isPresent() && goodNanos.getAsLong() - nanos >= 0;
+  private boolean succeededSince(long nanos) {
+    return succeededNanos.isPresent() && succeededNanos.getAsLong() - nanos >= 0;
   }
 
-  /** It was answered well. Whether this was news. */
+  /**
+   * Handles a successful answer.
+   *
+   * @return whether it voids any evidence
+   */
   boolean onSuccess(long atNanos, long nowNanos) {
-    if (goodSince(atNanos)) {
+    if (succeededSince(atNanos)) {
       return false;
     }
-    goodNanos = OptionalLong.of(atNanos);
-    boolean voids = crashes.values().removeIf(crash -> goodSince(crash.atNanos));
-    if (confirmed() && goodSince(confirmedNanos.getAsLong())) {
+    succeededNanos = OptionalLong.of(atNanos);
+    boolean evidenceVoided = crashes.values().removeIf(crash -> succeededSince(crash.atNanos));
+    if (confirmed() && succeededSince(confirmedNanos.getAsLong())) {
       confirmedNanos = OptionalLong.empty();
-      voids = true;
+      evidenceVoided = true;
     }
-    if (voids) {
+    if (evidenceVoided) {
       changedNanos = nowNanos;
-      weigh();
+      updateStatus();
     }
-    return voids;
+    return evidenceVoided;
   }
 
-  /** Somebody sent it. */
+  /** Handles that a caller requested the content. */
   void onAsked(long atNanos) {
     if (atNanos - askedNanos > 0) {
       askedNanos = atNanos;
     }
   }
 
-  /** It stays in quarantine for what was known at a moment. Whether this was news. */
+  /**
+   * Confirms the quarantine by the evidence of a given time.
+   *
+   * @return whether this is new
+   */
   boolean confirm(long atNanos, long nowNanos) {
-    if (confirmed() || goodSince(atNanos)) {
+    if (confirmed() || succeededSince(atNanos)) {
       return false;
     }
     confirmedNanos = OptionalLong.of(atNanos);
     changedNanos = nowNanos;
-    weigh();
+    updateStatus();
     return true;
   }
 
-  /** Nobody has asked for it for so long that it may have changed what engines make of it. */
-  void lapse() {
+  /**
+   * Removes all evidence: no caller has requested the content for so long that engines may handle
+   * it by now.
+   */
+  void expire() {
     crashes.clear();
     confirmedNanos = OptionalLong.empty();
-    goodNanos = OptionalLong.empty();
-    weigh();
+    succeededNanos = OptionalLong.empty();
+    updateStatus();
   }
 
-  /** The store holds it. */
+  /** Handles that the store holds the content. */
   void onStored(long nowNanos) {
     storedNanos = OptionalLong.of(nowNanos);
     storeDueNanos = OptionalLong.empty();
@@ -311,29 +354,31 @@
 
   void onRemovedFromStore() {
     storedNanos = OptionalLong.empty();
-    heldBack = false;
+    wasQuarantined = false;
     storedEngines = Set.of();
   }
 
-  /** The store holds it as under suspicion. */
+  /** Handles that the store holds the content as suspected. */
   void onSuspicionStored(Set<String> engines) {
     storedEngines = Set.copyOf(engines);
   }
 
   /**
-   * Whether the store holds what no longer speaks against it. A node that has only been told of the
-   * row, and not yet of enough else to hold it back, leaves it there.
+   * Returns whether the store holds an entry that the evidence no longer supports. A node that was
+   * only told of the entry, and not yet of enough evidence to quarantine the content itself, leaves
+   * the entry there.
    */
-  boolean storedInVain() {
+  boolean isStoredNeedlessly() {
     if (status() == QuarantineStatus.CLEAR) {
       return stored() || !storedEngines.isEmpty();
     }
-    return stored() && heldBack && status() != QuarantineStatus.QUARANTINED;
+    return stored() && wasQuarantined && status() != QuarantineStatus.QUARANTINED;
   }
 
   /**
-   * Engines that crashed under it while it is under suspicion and that the store should hold, where
-   * this node saw the last of them; then not again until there are others.
+   * The ids of engines that crashed under the content, if it is suspected and this node, having
+   * seen the last crash, should write them to the store. Returns them again only when there are
+   * others.
    */
   Optional<Set<String>> takeSuspicionDue() {
     if (status() != QuarantineStatus.SUSPECTED || seenHereNanos != changedNanos) {
@@ -351,37 +396,44 @@
     return countedCrashes().map(Map.Entry::getKey).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Takes away the crashes of engines that were heard later; whether there were any. */
-  boolean forgive(Function<String, OptionalLong> lastHeard) {
-    boolean forgiven =
+  /**
+   * Removes the crashes of engines that were heard later.
+   *
+   * @return whether there were any
+   */
+  boolean removeCrashesOfLiveEngines(Function<String, OptionalLong> lastHeard) {
+    boolean removed =
         !confirmed()
             && crashes
                 .entrySet()
                 .removeIf(
-                    crash -> livesAfter(lastHeard.apply(crash.getKey()), crash.getValue().atNanos));
-    if (forgiven) {
-      weigh();
+                    crash ->
+                        isAliveAfter(lastHeard.apply(crash.getKey()), crash.getValue().atNanos));
+    if (removed) {
+      updateStatus();
     }
-    return forgiven;
+    return removed;
   }
 
-  private static boolean livesAfter(OptionalLong heardNanos, long crashNanos) {
+  private static boolean isAliveAfter(OptionalLong heardNanos, long crashNanos) {
     return heardNanos.isPresent() && heardNanos.getAsLong() - crashNanos > ALIVE_NANOS;
   }
 
   /**
-   * Crashes that a content in quarantine with more crashes explains do not count here. Whether its
-   * status is another now.
+   * Sets the quarantined contents. Crashes that one of them with more crashes explains do not count
+   * against this content.
+   *
+   * @return whether the status has changed
    */
-  boolean setCulprits(List<Suspect> culprits) {
+  boolean explainBy(List<Suspect> quarantined) {
     QuarantineStatus before = status;
-    explained.clear();
-    for (Suspect culprit : culprits) {
-      if (culprit.crashCount() > crashCount()) {
-        explained.addAll(culprit.engines());
+    explainedEngines.clear();
+    for (Suspect other : quarantined) {
+      if (other.crashCount() > crashCount()) {
+        explainedEngines.addAll(other.engines());
       }
     }
-    weigh();
+    updateStatus();
     return status != before;
   }
 
@@ -395,27 +447,32 @@
   }
 
   private long newestCrash() {
-    return sureCrashes()
+    return certainCrashes()
         .map(crash -> crash.getValue().atNanos)
         .reduce((a, b) -> a - b > 0 ? a : b)
         .orElseThrow();
   }
 
-  /** What is thought of it, when that has changed since the last call. */
+  /** Returns whether the status has changed since the last call. */
   boolean takeChange() {
-    boolean changed = noticed != status();
-    noticed = status();
+    boolean changed = announcedStatus != status();
+    announcedStatus = status();
     return changed;
   }
 
-  /** The store should be asked at once to hold it, should it be in quarantine. */
-  void storeAtOnce(long nowNanos) {
+  /** Makes the content due to be stored at once if it is in quarantine. */
+  void requestStoreNow(long nowNanos) {
     if (status() == QuarantineStatus.QUARANTINED && !stored()) {
       storeDueNanos = OptionalLong.of(nowNanos);
     }
   }
 
-  /** Whether the store should be asked now to hold it; then not again for a while. */
+  /**
+   * Returns whether the content should be written to the store now.
+   *
+   * @param firstPauseNanos time in ns before the first attempt
+   * @param pauseNanos time in ns between attempts
+   */
   boolean takeStoreDue(long firstPauseNanos, long pauseNanos, long nowNanos) {
     if (status() != QuarantineStatus.QUARANTINED || storeHoldsIt(nowNanos)) {
       return false;
@@ -430,7 +487,10 @@
     return true;
   }
 
-  /** What was asked for since it was written is to be written again before it lapses there. */
+  /**
+   * Returns whether the store entry is recent enough. An entry must be renewed before it expires
+   * there if the content has been requested since it was written.
+   */
   private boolean storeHoldsIt(long nowNanos) {
     if (storedNanos.isEmpty()) {
       return false;
@@ -440,30 +500,37 @@
   }
 
   /**
-   * Whether it is, or was, more than one broken connection, of which a fleet sees many a second.
+   * Returns whether there is, or was, more evidence than one broken connection. A fleet sees many
+   * of those each second.
    */
-  boolean matters() {
-    return matters;
+  boolean isSignificant() {
+    return significant;
   }
 
   /**
-   * Whether others should hear of it now: for a while after each change, else now and then.
+   * Returns whether other nodes should hear of the content now: for a while after each change, and
+   * now and then while it is in quarantine.
    *
-   * @param passesOn whether others hear what this node was told only from it
+   * @param periodNanos time in ns during which a change is reported
+   * @param pauseNanos time in ns between repeated reports
+   * @param reportsForOthers whether other nodes receive what this node was told only through this
+   *     node
    */
-  boolean takeTellDue(long whileNanos, long pauseNanos, boolean passesOn, long nowNanos) {
-    long sinceNanos = matters() || passesOn ? changedNanos : seenHereNanos;
-    boolean fresh = nowNanos - sinceNanos < whileNanos;
-    boolean again = status() == QuarantineStatus.QUARANTINED && nowNanos - toldNanos >= pauseNanos;
+  boolean takeReportDue(
+      long periodNanos, long pauseNanos, boolean reportsForOthers, long nowNanos) {
+    long sinceNanos = isSignificant() || reportsForOthers ? changedNanos : seenHereNanos;
+    boolean fresh = nowNanos - sinceNanos < periodNanos;
+    boolean again =
+        status() == QuarantineStatus.QUARANTINED && nowNanos - reportedNanos >= pauseNanos;
     if (fresh || again) {
-      toldNanos = nowNanos;
+      reportedNanos = nowNanos;
     }
     return fresh || again;
   }
 
-  /** When others were told of it last. */
-  long toldNanos() {
-    return toldNanos;
+  /** The time in ns at which the content was last reported to others. */
+  long reportedNanos() {
+    return reportedNanos;
   }
 
   CrashReport report(long nowNanos) {
@@ -476,7 +543,7 @@
         age(confirmedNanos, nowNanos),
         stored(),
         millis(nowNanos - askedNanos),
-        age(goodNanos, nowNanos),
+        age(succeededNanos, nowNanos),
         seen);
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests that crash the engines that run them: how one is known again under another id, what
- * speaks against it, and when it is not sent any more. Pure; the dispatch thread alone calls, with
- * its own clock.
+ * Requests that crash the engines that run them: how such a request is recognized under another id,
+ * what evidence there is against it, and when it is no longer sent. Performs no I/O; only the
+ * dispatch thread calls, with its own clock.
  */
 package org.fallturn.core.quarantine;
--- a/fallturn-core/src/test/java/org/fallturn/core/quarantine/QuarantineTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/quarantine/QuarantineTest.java
@@ -10,7 +10,10 @@
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
 
-/** What speaks for and against a content, as one node sees it and as others tell it. */
+/**
+ * Guards against contents that keep crashing engines, and against innocent contents in quarantine:
+ * checks the evidence as one node sees it and as others report it.
+ */
 class QuarantineTest {
 
   private static final long START = TimeUnit.SECONDS.toNanos(1_000);
@@ -29,29 +32,29 @@
     return START + TimeUnit.MILLISECONDS.toNanos(millis);
   }
 
-  private static void crash(Quarantine seenBy, RequestContent content, int engines) {
+  private static void crash(Quarantine observer, RequestContent content, int engines) {
     for (int engine = 1; engine <= engines; engine++) {
-      crashOne(seenBy, content, "e-" + engine, 100L * engine);
+      crashOne(observer, content, "e-" + engine, 100L * engine);
     }
   }
 
-  /** The connection breaks, and the engine is found to be gone. */
+  /** Breaks the connection to an engine and reports the engine as gone. */
   private static void crashOne(
-      Quarantine seenBy, RequestContent content, String engineId, long millis) {
-    seenBy.onCrash(content, engineId, at(millis));
-    seenBy.onEngineGone(engineId, at(millis));
+      Quarantine observer, RequestContent content, String engineId, long millis) {
+    observer.onCrash(content, engineId, at(millis));
+    observer.onEngineGone(engineId, at(millis));
   }
 
   private QuarantineStatus status(RequestContent content, long millis) {
     return quarantine.status(content, at(millis));
   }
 
-  private static void tell(Quarantine from, Quarantine to, long millis) {
+  private static void sendReports(Quarantine from, Quarantine to, long millis) {
     from.takeReports(false, at(millis)).forEach(report -> to.onPeerReport(report, at(millis)));
   }
 
   @Test
-  void contentIsClearThenSuspectedThenInQuarantine() {
+  void contentBecomesSuspectedThenQuarantined() {
     crash(quarantine, CULPRIT, 1);
     assertThat(status(CULPRIT, 110)).isEqualTo(QuarantineStatus.CLEAR);
     crash(quarantine, CULPRIT, 2);
@@ -62,7 +65,7 @@
   }
 
   @Test
-  void brokenConnectionIsNoCrashWhileTheEngineIsThere() {
+  void brokenConnectionIsNoCrashWhileTheEngineIsListed() {
     for (int engine = 1; engine <= 4; engine++) {
       quarantine.onCrash(CULPRIT, "e-" + engine, at(100L * engine));
     }
@@ -73,11 +76,11 @@
   }
 
   @Test
-  void enginesAreProbedOnceASecondOneBrokeOff() {
+  void enginesAreProbedAfterASecondConnectionBroke() {
     quarantine.onCrash(CULPRIT, "e-1", at(100));
     assertThat(quarantine.takeProbes(at(110))).isEmpty();
     quarantine.onCrash(CULPRIT, "e-2", at(200));
-    tell(quarantine, other, 200);
+    sendReports(quarantine, other, 200);
     assertThat(quarantine.takeProbes(at(210))).containsExactlyInAnyOrder("e-1", "e-2");
     assertThat(quarantine.takeProbes(at(220))).isEmpty();
     assertThat(other.takeProbes(at(220))).isEmpty();
@@ -88,7 +91,7 @@
   }
 
   @Test
-  void copiesUnderOnePowerCutAreNotHeldBack() {
+  void crashesInOnePowerCutDoNotQuarantine() {
     for (String engine : new String[] {"e-1", "e-2", "e-3", "e-4"}) {
       crashOne(quarantine, CULPRIT, engine, 5);
     }
@@ -96,7 +99,7 @@
   }
 
   @Test
-  void engineThatIsHeardLaterHasNotCrashed() {
+  void engineHeardLaterHasNotCrashed() {
     crash(quarantine, CULPRIT, 3);
     quarantine.onTick(
         engine -> engine.equals("e-2") ? OptionalLong.of(at(900)) : OptionalLong.empty(), at(900));
@@ -104,14 +107,14 @@
   }
 
   @Test
-  void whatAnEngineSaidRightBeforeItsCrashMayComeLate() {
+  void lateMessageOfACrashedEngineIsNoSignOfLife() {
     crash(quarantine, CULPRIT, 3);
     quarantine.onTick(engine -> OptionalLong.of(at(500)), at(500));
     assertThat(status(CULPRIT, 510)).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
-  void bystandersAreClearedByTheContentThatExplainsTheirCrashes() {
+  void bystandersAreClearedByContentThatExplainsTheirCrashes() {
     crash(quarantine, CULPRIT, 4);
     for (String engine : new String[] {"e-1", "e-2", "e-3"}) {
       crashOne(quarantine, BYSTANDER, engine, 450);
@@ -121,7 +124,7 @@
   }
 
   @Test
-  void bystandersThatWereSeenFirstAreClearedToo() {
+  void bystandersSeenBeforeTheCulpritAreCleared() {
     crash(quarantine, BYSTANDER, 3);
     crash(quarantine, CULPRIT, 4);
     quarantine.onTick(NOT_HEARD, at(450));
@@ -130,20 +133,20 @@
   }
 
   @Test
-  void oneGoodAnswerReleasesItAtEveryNode() {
+  void oneSuccessfulAnswerReleasesContentAtEveryNode() {
     crash(quarantine, CULPRIT, 3);
-    tell(quarantine, other, 310);
+    sendReports(quarantine, other, 310);
     quarantine.onTick(NOT_HEARD, at(2_000));
     other.onTick(NOT_HEARD, at(2_000));
     other.onSuccess(CULPRIT, at(2_100));
-    tell(other, quarantine, 2_110);
-    tell(quarantine, other, 2_120);
+    sendReports(other, quarantine, 2_110);
+    sendReports(quarantine, other, 2_120);
     assertThat(status(CULPRIT, 2_130)).isEqualTo(QuarantineStatus.CLEAR);
     assertThat(other.status(CULPRIT, at(2_130))).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
-  void verdictThatHasSettledStandsWhateverIsHeardLater() {
+  void confirmedQuarantineHoldsWhateverIsHeardLater() {
     crash(quarantine, CULPRIT, 3);
     quarantine.onTick(NOT_HEARD, at(1_400));
     quarantine.onTick(engine -> OptionalLong.of(at(1_500)), at(1_500));
@@ -155,38 +158,38 @@
     crashOne(quarantine, CULPRIT, "e-1", 0);
     crashOne(quarantine, CULPRIT, "e-2", 100);
     crashOne(other, CULPRIT, "e-3", 200);
-    tell(quarantine, other, 210);
+    sendReports(quarantine, other, 210);
     assertThat(other.status(CULPRIT, at(220))).isEqualTo(QuarantineStatus.QUARANTINED);
     assertThat(other.takeUrgentChange()).isTrue();
-    tell(other, quarantine, 220);
+    sendReports(other, quarantine, 220);
     assertThat(status(CULPRIT, 230)).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
-  void nodeThatMissedEveryMessageIsToldAgain() {
+  void quarantineIsReportedAgainToNodeThatMissedEveryMessage() {
     crash(quarantine, CULPRIT, 3);
     quarantine.takeReports(false, at(310));
     quarantine.onTick(NOT_HEARD, at(5_000));
-    tell(quarantine, other, 5_000);
+    sendReports(quarantine, other, 5_000);
     assertThat(other.status(CULPRIT, at(5_010))).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
-  void contentThatNobodyAsksForLapsesAlthoughNodesTellEachOther() {
+  void contentThatNobodyRequestsExpiresAlthoughNodesReportIt() {
     crash(quarantine, CULPRIT, 3);
     long millis = 400;
     for (; millis < 2 * Quarantine.LIFETIME_MILLIS; millis += 10_000) {
       quarantine.onTick(NOT_HEARD, at(millis));
       other.onTick(NOT_HEARD, at(millis));
-      tell(quarantine, other, millis);
-      tell(other, quarantine, millis);
+      sendReports(quarantine, other, millis);
+      sendReports(other, quarantine, millis);
     }
     assertThat(status(CULPRIT, millis)).isEqualTo(QuarantineStatus.CLEAR);
     assertThat(other.status(CULPRIT, at(millis))).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
-  void floodOfOthersDoesNotPushOutWhatIsInQuarantine() {
+  void floodOfOtherContentsDoesNotEvictQuarantinedOnes() {
     crash(quarantine, CULPRIT, 3);
     for (int number = 0; number < 3 * Quarantine.MAX_SUSPECTS; number++) {
       crashOne(quarantine, content("flood-" + number), "f-" + number, 500);
@@ -196,26 +199,26 @@
   }
 
   @Test
-  void nodeThatSawTheLastCrashAsksTheStoreAtOnceAndOthersOnlyWhenItDoesNotHoldIt() {
+  void nodeThatSawTheLastCrashStoresAtOnceAndOthersDoNot() {
     crash(quarantine, CULPRIT, 3);
-    tell(quarantine, other, 310);
+    sendReports(quarantine, other, 310);
     assertThat(quarantine.takeUnstored(at(310))).containsExactly(CULPRIT.fingerprint());
     assertThat(other.takeUnstored(at(310))).isEmpty();
     quarantine.onStored(CULPRIT.fingerprint(), at(320));
-    tell(quarantine, other, 330);
+    sendReports(quarantine, other, 330);
     assertThat(other.takeUnstored(at(20_000))).isEmpty();
   }
 
   @Test
-  void anotherNodeAsksTheStoreWhenTheFirstCouldNot() {
+  void anotherNodeStoresWhenTheFirstCouldNot() {
     crash(quarantine, CULPRIT, 3);
-    tell(quarantine, other, 310);
+    sendReports(quarantine, other, 310);
     other.takeUnstored(at(310));
     assertThat(other.takeUnstored(at(20_000))).containsExactly(CULPRIT.fingerprint());
   }
 
   @Test
-  void whatTheStoreHoldsIsHeldBackFromTheStartAndRenewedWhileItIsAskedFor() {
+  void storedContentIsQuarantinedFromTheStartAndRenewedWhileRequested() {
     quarantine.onLoadedFromStore(CULPRIT.fingerprint(), Quarantine.LIFETIME_MILLIS / 2, at(0));
     assertThat(status(CULPRIT, 10)).isEqualTo(QuarantineStatus.QUARANTINED);
     quarantine.takeUnstored(at(20));
@@ -223,53 +226,56 @@
   }
 
   /**
-   * A content's row vanished from the store 50 ms after it had been written, and all nodes that
-   * started anew sent the content again. Another node had been told of the crashes by messages that
-   * took different times, so that they lay too close together there to count, and it took the row,
-   * which it was told of too, for one of a content that had been released.
+   * A node deleted the store entry of a content 50 ms after another node had written it, and all
+   * nodes that started later sent the content again. Messages about the crashes had taken different
+   * times, so that for this node the crashes lay too close together to count. It had also been told
+   * of the entry, and mistook it for that of a released content.
    */
   @Test
-  void nodeThatHasNotHeldAContentBackLeavesItsRowInTheStore() {
+  void nodeThatHasNotQuarantinedAContentLeavesItInTheStore() {
     crashOne(quarantine, CULPRIT, "e-1", 0);
     quarantine.takeReports(false, at(0)).forEach(report -> other.onPeerReport(report, at(40)));
     crashOne(quarantine, CULPRIT, "e-2", 50);
     crashOne(quarantine, CULPRIT, "e-3", 60);
     quarantine.onStored(CULPRIT.fingerprint(), at(70));
-    tell(quarantine, other, 70);
+    sendReports(quarantine, other, 70);
     other.onTick(NOT_HEARD, at(80));
     assertThat(other.status(CULPRIT, at(90))).isEqualTo(QuarantineStatus.SUSPECTED);
     assertThat(other.takeReleased()).isEmpty();
   }
 
   @Test
-  void whatANodeSuspectsOutlastsItsProcess() {
+  void suspicionOutlastsTheProcess() {
     crash(quarantine, CULPRIT, 2);
-    tell(quarantine, other, 210);
+    sendReports(quarantine, other, 210);
     assertThat(other.takeUnstoredSuspects()).isEmpty();
     Map<RequestFingerprint, Set<String>> stored = quarantine.takeUnstoredSuspects();
     assertThat(stored).containsExactly(Map.entry(CULPRIT.fingerprint(), Set.of("e-1", "e-2")));
     assertThat(quarantine.takeUnstoredSuspects()).isEmpty();
-    Quarantine later = new Quarantine("node-1");
+    Quarantine restarted = new Quarantine("node-1");
     stored.forEach(
         (content, engines) ->
-            later.onLoadedFromStore(
+            restarted.onLoadedFromStore(
                 new QuarantineStore.StoredContent(content, 100, engines), at(1_000)));
-    assertThat(later.status(CULPRIT, at(1_010))).isEqualTo(QuarantineStatus.SUSPECTED);
-    crashOne(later, CULPRIT, "e-3", 1_100);
-    assertThat(later.status(CULPRIT, at(1_110))).isEqualTo(QuarantineStatus.QUARANTINED);
+    assertThat(restarted.status(CULPRIT, at(1_010))).isEqualTo(QuarantineStatus.SUSPECTED);
+    crashOne(restarted, CULPRIT, "e-3", 1_100);
+    assertThat(restarted.status(CULPRIT, at(1_110))).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
-  void suspicionThatHasEndedIsTakenFromTheStore() {
+  void endedSuspicionIsRemovedFromTheStore() {
     crash(quarantine, CULPRIT, 2);
     quarantine.takeUnstoredSuspects();
     quarantine.onSuccess(CULPRIT, at(300));
     assertThat(quarantine.takeReleased()).containsExactly(CULPRIT.fingerprint());
   }
 
-  /** While one copy ran, others of the same content were sent and crashed an engine each. */
+  /**
+   * Guards against several copies of a content being sent while one runs, each of which crashes an
+   * engine.
+   */
   @Test
-  void contentUnderSuspicionIsSentOnceAtATime() {
+  void suspectedContentIsSentOneCopyAtATime() {
     quarantine.onSent(CULPRIT, "request-1");
     crash(quarantine, CULPRIT, 2);
     assertThat(status(CULPRIT, 1_000)).isEqualTo(QuarantineStatus.QUARANTINED);
@@ -278,7 +284,7 @@
   }
 
   @Test
-  void contentUnderSuspicionWaitsUntilItIsKnownWhetherAnotherEngineCrashed() {
+  void suspectedContentWaitsUntilTheLastCrashIsDecided() {
     crash(quarantine, CULPRIT, 2);
     quarantine.onCrash(CULPRIT, "e-3", at(300));
     assertThat(status(CULPRIT, 310)).isEqualTo(QuarantineStatus.QUARANTINED);
@@ -287,7 +293,7 @@
   }
 
   @Test
-  void releasedContentIsTakenFromTheStore() {
+  void releasedContentIsRemovedFromTheStore() {
     quarantine.onLoadedFromStore(CULPRIT.fingerprint(), 1_000, at(0));
     quarantine.onSuccess(CULPRIT, at(100));
     assertThat(quarantine.takeReleased()).containsExactly(CULPRIT.fingerprint());
--- a/fallturn-core/src/test/java/org/fallturn/core/quarantine/RequestContentTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/quarantine/RequestContentTest.java
@@ -6,7 +6,10 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** A content is known again whatever id it bears, and no other is taken for it. */
+/**
+ * Guards against a content that is not recognized under another request id, and against one content
+ * being mistaken for another.
+ */
 class RequestContentTest {
 
   private static final RequestFingerprint KNOWN = fingerprint("POST host/a", "caller", "body");
@@ -21,7 +24,7 @@
   }
 
   @Test
-  void anyOtherContentHasAnother() {
+  void differentContentsHaveDifferentFingerprints() {
     assertThat(fingerprint("POST host/b", "caller", "body")).isNotEqualTo(KNOWN);
     assertThat(fingerprint("POST host/a", "another", "body")).isNotEqualTo(KNOWN);
     assertThat(fingerprint("POST host/a", "caller", "bodz")).isNotEqualTo(KNOWN);
@@ -29,12 +32,12 @@
   }
 
   @Test
-  void textIsReadAgain() {
+  void fingerprintIsParsedFromItsText() {
     assertThat(RequestFingerprint.parse(KNOWN.toString())).isEqualTo(KNOWN);
   }
 
   @Test
-  void otherTextIsRefusedByName() {
+  void textThatIsNoFingerprintIsRejectedWithItsText() {
     assertThatThrownBy(() -> RequestFingerprint.parse("short"))
         .isInstanceOf(IllegalArgumentException.class)
         .hasMessageContaining("short");
