--- a/fallturn-core/src/main/java/org/fallturn/core/peers/MessageKind.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/MessageKind.java
@@ -3,19 +3,19 @@
 import java.util.Optional;
 import org.fallturn.core.dispatch.PeerLoads;
 
-/** What a message between nodes is for. */
+/** The purpose of a message between nodes. */
 public enum MessageKind {
-  /** A node asks one that it may not know who the relays are. */
+  /** Asks a node that the sender may not know for the list of relays. */
   GREETING(null),
-  /** Who the relays are, or what engines keep, to a node that asked. */
+  /** Answers with the list of relays, or with cache listings. */
   WELCOME(null),
-  /** What a node and those that report to it have, to its relay. */
+  /** Reports the load of the sender and its members to the sender's relay. */
   REPORT(PeerLoads.Source.MEMBER),
-  /** What a relay and those that report to it have, to the other relays. */
+  /** Reports the load of a relay and its members to the other relays. */
   GROUP(PeerLoads.Source.RELAY),
-  /** What all other nodes have, from a relay to a node that reports to it. */
+  /** Reports the load of all other nodes from a relay to one of its members. */
   VIEW(PeerLoads.Source.VIEW),
-  /** What a node has counted, to the nodes that collect it; says nothing else. */
+  /** Sends the sender's usage counts to the nodes that collect them, and nothing else. */
   USAGE(null);
 
   private final PeerLoads.Source source;
@@ -24,7 +24,9 @@
     this.source = source;
   }
 
-  /** Whom its load speaks for; empty when it tells of no load. */
+  /**
+   * Returns which nodes the load in the message covers; empty when the message contains no load.
+   */
   public Optional<PeerLoads.Source> source() {
     return Optional.ofNullable(source);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/NodeCount.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/NodeCount.java
@@ -3,25 +3,26 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How many nodes there are, counted with care: a bound that is divided by the number must not rise
- * since some nodes are not heard for a while. The dispatch thread counts; any thread may read.
+ * A conservative count of the nodes. A bound that is divided by it must not rise only because some
+ * nodes are not heard for a while, so the highest recent count holds. The dispatch thread counts;
+ * any thread may read.
  */
 final class NodeCount {
 
-  /** Longer than a message of a node that has gone to another relay is believed. */
-  private static final long SETTLE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  /** Longer than a message of a node that has changed its relay still counts. */
+  private static final long PERIOD_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** How long the highest count holds. */
-  private static final long HIGHEST_NANOS = TimeUnit.SECONDS.toNanos(60);
+  private static final long HIGHEST_LIFETIME_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  private int settled;
-  private int least = Integer.MAX_VALUE;
-  private long countingSinceNanos;
+  private int stableCount;
+  private int lowestInPeriod = Integer.MAX_VALUE;
+  private long periodStartNanos;
   private volatile int highest;
   private long highestNanos;
 
-  NodeCount(long beganNanos) {
-    this.countingSinceNanos = beganNanos;
+  NodeCount(long nowNanos) {
+    this.periodStartNanos = nowNanos;
   }
 
   /** The highest count of the last minute; 0 before the first. */
@@ -29,30 +30,30 @@
     return highest;
   }
 
-  /** So many nodes are heard now, this one included. */
+  /** Handles the number of nodes that are heard now, including this one. */
   void onHeard(int count, long nowNanos) {
-    onPeerReport(settled(count, nowNanos), nowNanos);
+    onPeerReport(stableCount(count, nowNanos), nowNanos);
   }
 
-  /** Another node has counted so many. */
+  /** Handles the number of nodes that another node counted. */
   void onPeerReport(int count, long nowNanos) {
-    if (count >= highest || nowNanos - highestNanos >= HIGHEST_NANOS) {
+    if (count >= highest || nowNanos - highestNanos >= HIGHEST_LIFETIME_NANOS) {
       highest = count;
       highestNanos = nowNanos;
     }
   }
 
   /**
-   * The least count of the last whole period, since a node that goes from one relay to another may
-   * count twice for a while; the present one before the first period is over.
+   * The lowest count of the last complete period, since a node that changes its relay may count
+   * twice for a while. Before the first period is over, the present count.
    */
-  private int settled(int count, long nowNanos) {
-    if (nowNanos - countingSinceNanos >= SETTLE_NANOS) {
-      settled = least;
-      least = count;
-      countingSinceNanos = nowNanos;
+  private int stableCount(int count, long nowNanos) {
+    if (nowNanos - periodStartNanos >= PERIOD_NANOS) {
+      stableCount = lowestInPeriod;
+      lowestInPeriod = count;
+      periodStartNanos = nowNanos;
     }
-    least = Math.min(least, count);
-    return settled == 0 ? count : settled;
+    lowestInPeriod = Math.min(lowestInPeriod, count);
+    return stableCount == 0 ? count : stableCount;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/OutgoingPeerMessage.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/OutgoingPeerMessage.java
@@ -3,9 +3,9 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * A message and where it goes.
+ * A message and its destination.
  *
- * @param target address of the node that should hear it
+ * @param target address of the node that receives it
  * @param message the message
  */
 public record OutgoingPeerMessage(NetworkAddress target, PeerMessage message) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/OwnLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/OwnLoad.java
@@ -8,12 +8,12 @@
 import org.fallturn.core.quarantine.CrashReport;
 
 /**
- * What this node itself can tell.
+ * What this node itself can report to others.
  *
- * @param engines what it has where, by engine id
- * @param speeds how fast engines read, by service, as far as it has learned it
+ * @param engines its load at the engines, by engine id
+ * @param speeds the learned prefill speeds of engines, by service
  * @param crashes contents that may crash engines, as far as others should hear of them now
- * @param mayOrder whether it may order changes of stage when its name is the first
+ * @param mayOrder whether it may order stage changes when its name is the first
  * @param budgets its parts of retry budgets, by service
  */
 public record OwnLoad(
@@ -23,7 +23,7 @@
     boolean mayOrder,
     Map<String, BudgetDigest> budgets) {
 
-  /** Of a node that says nothing of retry budgets. */
+  /** Creates the load of a node that reports no retry budgets. */
   public OwnLoad(
       Map<String, EngineDigest> engines,
       Map<String, LearnedSpeed> speeds,
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/PeerDirectory.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/PeerDirectory.java
@@ -10,57 +10,70 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * The nodes that this one has heard, and those of which others told.
+ * The nodes that this node has heard, and those that others reported.
  *
- * <p>Invariant: what is told of a node keeps the time at which somebody heard it, so that a node
- * that is gone fades from every directory, however often it is told on. One thread calls.
+ * <p>Invariant: a report on a node keeps the time at which some node heard it, so that a node that
+ * is gone expires from every directory, however often it is reported. One thread calls.
  */
 final class PeerDirectory {
 
-  /** Nodes speak several times a second; four or five lost messages in a row are rare. */
+  /**
+   * How long a node counts as heard. Nodes send several messages per second; four or five lost
+   * messages in a row are rare.
+   */
   private static final long HEARD_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
-  /** Relays are told of every 500 ms, over two others at the most, and one message may be lost. */
+  /**
+   * How long a reported node counts as known. Relays are reported every 500 ms, over two other
+   * nodes at the most, and one message may be lost.
+   */
   private static final long KNOWN_NANOS = TimeUnit.MILLISECONDS.toNanos(2_500);
 
-  /** For so long a node that fell silent is greeted now and then, as it may have been cut off. */
+  /**
+   * How long a node that fell silent is still greeted now and then, as it may have been cut off.
+   */
   private static final long REMEMBERED_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-  /** For so long a relay that fell silent is not chosen: until all have ceased to tell of it. */
+  /** How long a relay that fell silent is not chosen: until all nodes have stopped reporting it. */
   private static final long AVOIDED_NANOS = TimeUnit.SECONDS.toNanos(4);
 
   private final PeerInfo self;
   private final Map<NetworkAddress, Entry> entries = new HashMap<>();
   private final Map<NetworkAddress, Long> avoidedUntil = new HashMap<>();
-  private int turn;
+  private int greetingCount;
 
-  /** What is known of a node; when this node heard it is null where it never did. */
-  private record Entry(PeerInfo info, Long heardNanos, long someoneHeardNanos) {}
+  /**
+   * A known node.
+   *
+   * @param heardNanos when this node last heard it; null if it never did
+   * @param lastHeardByAnyNanos when any node last heard it
+   */
+  private record Entry(PeerInfo info, Long heardNanos, long lastHeardByAnyNanos) {}
 
   PeerDirectory(PeerInfo self) {
     this.self = self;
   }
 
-  /** A node spoke. */
+  /** Handles a message from a node. */
   void onHeard(PeerInfo peer, long nowNanos) {
     if (!isSelf(peer)) {
       entries.put(peer.address(), new Entry(peer, nowNanos, nowNanos));
     }
   }
 
-  /** A node told of another. */
-  void onPeerReport(KnownPeer told, long nowNanos) {
-    PeerInfo peer = told.info();
-    long heardNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(told.ageMillis());
-    Entry before = entries.get(peer.address());
-    if (isSelf(peer) || before != null && before.someoneHeardNanos - heardNanos >= 0) {
+  /** Handles another node's report on a node. */
+  void onPeerReport(KnownPeer reported, long nowNanos) {
+    PeerInfo peer = reported.info();
+    long heardNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(reported.ageMillis());
+    Entry previous = entries.get(peer.address());
+    if (isSelf(peer) || previous != null && previous.lastHeardByAnyNanos - heardNanos >= 0) {
       return;
     }
-    Long ownNanos = before == null ? null : before.heardNanos;
-    entries.put(peer.address(), new Entry(peer, ownNanos, heardNanos));
+    Long heardHereNanos = previous == null ? null : previous.heardNanos;
+    entries.put(peer.address(), new Entry(peer, heardHereNanos, heardNanos));
   }
 
-  /** A relay has said nothing for too long. */
+  /** Avoids a relay that has been silent for too long. */
   void avoid(NetworkAddress relay, long nowNanos) {
     avoidedUntil.put(relay, nowNanos + AVOIDED_NANOS);
   }
@@ -69,8 +82,8 @@
     return peer.address().equals(self.address());
   }
 
-  /** Whether a node was heard lately by this one. */
-  boolean heardLately(NetworkAddress peer, long nowNanos) {
+  /** Returns whether this node itself has heard a node recently. */
+  boolean heardRecently(NetworkAddress peer, long nowNanos) {
     Entry entry = entries.get(peer);
     return entry != null && wasHeard(entry, nowNanos);
   }
@@ -79,40 +92,40 @@
     return entry.heardNanos != null && nowNanos - entry.heardNanos < HEARD_NANOS;
   }
 
-  /** Nodes that anybody heard lately and that are not avoided, this one not among them. */
+  /** The nodes that any node heard recently and that are not avoided, without this node. */
   List<PeerInfo> known(long nowNanos) {
     avoidedUntil.values().removeIf(until -> nowNanos - until >= 0);
     List<PeerInfo> known = new ArrayList<>();
     for (Entry entry : entries.values()) {
-      boolean lately = nowNanos - entry.someoneHeardNanos < KNOWN_NANOS;
-      if (lately && !avoidedUntil.containsKey(entry.info.address())) {
+      boolean recently = nowNanos - entry.lastHeardByAnyNanos < KNOWN_NANOS;
+      if (recently && !avoidedUntil.containsKey(entry.info.address())) {
         known.add(entry.info);
       }
     }
     return known;
   }
 
-  /** Nodes to be told of, with the time since they were heard. */
+  /** The given nodes, as far as they are known, with the time since they were heard. */
   List<KnownPeer> withAges(List<PeerInfo> peers, long nowNanos) {
-    List<KnownPeer> told = new ArrayList<>();
+    List<KnownPeer> reported = new ArrayList<>();
     for (PeerInfo peer : peers) {
       Entry entry = entries.get(peer.address());
       if (isSelf(peer)) {
-        told.add(new KnownPeer(peer, 0));
+        reported.add(new KnownPeer(peer, 0));
       } else if (entry != null) {
-        long age = TimeUnit.NANOSECONDS.toMillis(nowNanos - entry.someoneHeardNanos);
-        told.add(new KnownPeer(peer, age));
+        long age = TimeUnit.NANOSECONDS.toMillis(nowNanos - entry.lastHeardByAnyNanos);
+        reported.add(new KnownPeer(peer, age));
       }
     }
-    return told;
+    return reported;
   }
 
-  /** Whether any node was heard lately. */
+  /** Returns whether this node has heard any node recently. */
   boolean anyHeard(long nowNanos) {
     return entries.values().stream().anyMatch(entry -> wasHeard(entry, nowNanos));
   }
 
-  /** Nodes heard directly and lately. */
+  /** The addresses of the nodes that this node itself has heard recently. */
   List<NetworkAddress> heard(long nowNanos) {
     return entries.values().stream()
         .filter(entry -> wasHeard(entry, nowNanos))
@@ -121,15 +134,15 @@
         .toList();
   }
 
-  /** The next in turn of the given addresses and of nodes that fell silent. */
+  /** The next node to greet, in turn, of the given addresses and the nodes that fell silent. */
   Optional<NetworkAddress> nextToGreet(Collection<NetworkAddress> seeds, long nowNanos) {
-    entries.values().removeIf(entry -> nowNanos - entry.someoneHeardNanos >= REMEMBERED_NANOS);
+    entries.values().removeIf(entry -> nowNanos - entry.lastHeardByAnyNanos >= REMEMBERED_NANOS);
     List<NetworkAddress> candidates = new ArrayList<>(seeds);
     entries.keySet().stream().filter(peer -> !candidates.contains(peer)).forEach(candidates::add);
-    candidates.removeIf(peer -> heardLately(peer, nowNanos));
+    candidates.removeIf(peer -> heardRecently(peer, nowNanos));
     candidates.sort(null);
     return candidates.isEmpty()
         ? Optional.empty()
-        : Optional.of(candidates.get(Math.floorMod(turn++, candidates.size())));
+        : Optional.of(candidates.get(Math.floorMod(greetingCount++, candidates.size())));
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/PeerInfo.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/PeerInfo.java
@@ -6,29 +6,40 @@
 /**
  * A node as the others know it. Immutable.
  *
- * @param address where it hears of load
+ * @param address where it receives messages about load
  * @param zone its zone
- * @param capacity messages a second that its processor and link can carry, whichever is less
+ * @param capacity messages per second that its processor or its link can handle, whichever is less
  */
 public record PeerInfo(NetworkAddress address, String zone, int capacity) {
 
-  private static final String RANK = "relay";
+  private static final String RANK_PURPOSE = "relay";
 
   /**
-   * Messages a second of one core. A message is read or written in about 0.1 ms: an estimate from
-   * the processor time of a node with 120 messages a second (docs/experiments/large.md).
+   * Messages per second of one core. Reading or writing a message takes about 0.1 ms, estimated
+   * from the processor time of a node with 120 messages per second (docs/experiments/large.md).
    */
-  private static final double MESSAGES_A_CORE = 10_000;
+  private static final double MESSAGES_PER_CORE = 10_000;
 
-  /** Messages a second of a Mbit/s: 40 of some 3 KB, what a fleet of 95 nodes has to tell. */
-  private static final double MESSAGES_A_MBPS = 40;
+  /**
+   * Messages per second of one Mbit/s: 40 messages of some 3 KB, the size in a fleet of 95 nodes.
+   */
+  private static final double MESSAGES_PER_MBPS = 40;
 
-  /** Capacity of a machine with such a processor and link. */
+  /**
+   * Returns the capacity of a machine.
+   *
+   * @param cores number of processor cores
+   * @param bandwidthMbps bandwidth of the link in Mbit/s
+   */
   public static int capacityOf(double cores, double bandwidthMbps) {
-    return (int) Math.max(1, Math.min(cores * MESSAGES_A_CORE, bandwidthMbps * MESSAGES_A_MBPS));
+    return (int)
+        Math.max(1, Math.min(cores * MESSAGES_PER_CORE, bandwidthMbps * MESSAGES_PER_MBPS));
   }
 
-  /** A total order on which all nodes agree: by capacity, then by a hash of the address. */
+  /**
+   * Returns whether this node ranks before another one. All nodes agree on this total order: by
+   * capacity, then by a hash of the address.
+   */
   public boolean ranksBefore(PeerInfo other) {
     if (capacity != other.capacity) {
       return capacity > other.capacity;
@@ -38,10 +49,13 @@
   }
 
   private long rank() {
-    return RendezvousHash.weight(RANK, address.toString());
+    return RendezvousHash.weight(RANK_PURPOSE, address.toString());
   }
 
-  /** As a record would, without the method handles whose making each start would pay. */
+  /**
+   * Compares like the generated method of a record, without the method handles that the JVM would
+   * have to link at each start.
+   */
   @Override
   public boolean equals(Object other) {
     return other instanceof PeerInfo that
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/PeerMessage.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/PeerMessage.java
@@ -9,17 +9,18 @@
 import org.fallturn.core.usage.UsageNews;
 
 /**
- * One message between nodes. Immutable.
+ * A message between nodes. Immutable.
  *
- * @param kind what it is for
- * @param sender who sends it
- * @param load what those that it speaks for have, and prompts that were placed
- * @param listings what engines said that they keep
+ * @param kind its purpose
+ * @param sender the node that sends it
+ * @param load the load of the nodes that the message covers, and placed prompts
+ * @param listings what engines reported to hold in their caches
  * @param crashes contents that may crash engines
- * @param relays relays and who is next in line, in some messages
- * @param tables the newest change of each followed table that the sender knows to have been seen
- * @param usage what the sender has counted, in messages of that kind
- * @param wantsListings whether the sender asks for all that is known of what engines keep
+ * @param relays relays and their possible successors; empty in most messages
+ * @param tables the newest version of each followed table that the sender knows any node to have
+ *     seen
+ * @param usage the sender's usage counts; empty in all messages of other kinds
+ * @param wantsListings whether the sender asks for all known cache listings
  */
 public record PeerMessage(
     MessageKind kind,
@@ -32,7 +33,7 @@
     Optional<UsageNews> usage,
     boolean wantsListings) {
 
-  /** A message that says nothing of usage. */
+  /** Creates a message without usage counts. */
   public PeerMessage(
       MessageKind kind,
       PeerInfo sender,
@@ -45,12 +46,12 @@
     this(kind, sender, load, listings, crashes, relays, tables, Optional.empty(), wantsListings);
   }
 
-  /** The same message, which also asks for all listings. */
+  /** Returns this message with a request for all cache listings. */
   PeerMessage askingForListings() {
     return new PeerMessage(kind, sender, load, listings, crashes, relays, tables, usage, true);
   }
 
-  /** Private copies. */
+  /** Copies the collections. */
   public PeerMessage {
     listings = List.copyOf(listings);
     crashes = List.copyOf(crashes);
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/News.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/PendingUpdates.java
@@ -10,26 +10,26 @@
 import org.fallturn.core.dispatch.PlacedPrompt;
 
 /**
- * Prompts that were placed and listings that came, until they are told on. Bounded: the oldest make
- * room, since a newer one says more. One thread calls.
+ * Queues placed prompts and cache listings until they are sent to other nodes. Bounded: the oldest
+ * entries make room, since newer ones are more relevant. One thread calls.
  */
-final class News {
+final class PendingUpdates {
 
-  /** Some 100 bytes each; all nodes of a fleet place a few hundred a second. */
+  /** Some 100 bytes each; all nodes of a fleet together place a few hundred prompts per second. */
   private static final int MAX_PROMPTS = 200;
 
-  /** Prompts in one message, so that it stays within a few KB. */
-  private static final int MAX_PROMPTS_A_MESSAGE = 40;
+  /** The most prompts in one message, so that the message stays within a few KB. */
+  private static final int MAX_PROMPTS_PER_MESSAGE = 40;
 
   private static final int MAX_LISTINGS = 60;
 
-  /** Parts in the listings of one message, some 16 bytes each. */
-  private static final int MAX_PARTS_A_MESSAGE = 400;
+  /** The most parts in the listings of one message, some 16 bytes each. */
+  private static final int MAX_PARTS_PER_MESSAGE = 400;
 
   private final Deque<PlacedPrompt> prompts = new ArrayDeque<>();
   private final Deque<TimedListing> listings = new ArrayDeque<>();
 
-  /** A listing and when it was true. */
+  /** A listing and the time in ns at which it was valid. */
   private record TimedListing(CacheListing listing, long trueAtNanos) {}
 
   void addPrompts(Collection<PlacedPrompt> placed) {
@@ -54,23 +54,23 @@
     return prompts.isEmpty() && listings.isEmpty();
   }
 
-  /** The oldest, as many as one message takes. */
+  /** Removes the oldest prompts, as many as fit into one message. */
   List<PlacedPrompt> takePrompts() {
     List<PlacedPrompt> taken = new ArrayList<>();
-    while (!prompts.isEmpty() && taken.size() < MAX_PROMPTS_A_MESSAGE) {
+    while (!prompts.isEmpty() && taken.size() < MAX_PROMPTS_PER_MESSAGE) {
       taken.add(prompts.removeFirst());
     }
     return taken;
   }
 
-  /** The oldest, as many as one message takes; at least one, however long. */
+  /** Removes the oldest listings, as many as fit into one message; at least one, however long. */
   List<CacheListing> takeListings(long nowNanos) {
     List<CacheListing> taken = new ArrayList<>();
     int parts = 0;
     while (!listings.isEmpty()) {
       CacheListing next = listings.peekFirst().listing;
       parts += next.parts().size();
-      if (!taken.isEmpty() && parts > MAX_PARTS_A_MESSAGE) {
+      if (!taken.isEmpty() && parts > MAX_PARTS_PER_MESSAGE) {
         return taken;
       }
       long age = nowNanos - listings.removeFirst().trueAtNanos;
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -21,54 +21,78 @@
 import org.fallturn.core.usage.UsageNews;
 
 /**
- * Says what this node tells whom, and takes what others tell. A node reports to one relay, which
- * tells it what all others have; relays tell each other what they and those that report to them
- * have. Where there are few nodes all are relays.
+ * Exchanges what nodes know of engines over an overlay network of relays: it decides which messages
+ * this node sends to which nodes, and processes those that it receives. A node reports to one
+ * relay, which sends it the view of all other nodes. Relays exchange what they and the nodes that
+ * report to them, their members, know. In a small fleet all nodes are relays.
  *
- * <p>Invariants: what a node has is told on by the one relay that it reports to, so that no sum
- * holds it twice for longer than {@link PeerLoads} believes a message; a report goes only to a node
- * that ranks before its sender, so that no sum comes back to whom it is from; what a relay tells a
- * node leaves out what that node reported. Only the dispatch thread calls.
+ * <p>Invariants: the load of a node is passed on only by the relay that it reports to, so that no
+ * sum counts it twice for longer than {@link PeerLoads} keeps a message. A report goes only to a
+ * node that ranks before its sender, so that no sum returns to a node that it includes. The view
+ * that a relay sends to a member leaves out what that member reported. Only the dispatch thread
+ * calls.
  */
 public final class RelayOverlay {
 
-  /** A turn: how often what has changed is told. */
-  private static final long TURN_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  /** The time of a round: how often changes are sent. */
+  private static final long ROUND_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** Three messages of a relay may be lost before it is left. */
+  /**
+   * A node leaves its relay after this silence, so that three of the relay's messages may be lost.
+   */
   private static final long RELAY_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(350);
 
-  /** A pause of this node's own says nothing about the silence of others. */
+  /**
+   * A pause of this node longer than this restarts the wait for its relay, since the silence of
+   * others then means nothing.
+   */
   private static final long OWN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /** A node with nothing to tell tells so, as a fifth of how long it is believed. */
+  /**
+   * How often a node without changes sends a message: a fifth of the time that a message counts.
+   */
   private static final long HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /** News goes at once from a node that speaks only for itself, else gathered for a while. */
-  private static final long NEWS_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  /**
+   * The pause between messages with updates. A node that speaks only for itself sends updates at
+   * once; a relay gathers them for longer.
+   */
+  private static final long UPDATE_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
-  private static final long GATHERED_NEWS_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  private static final long GATHERED_UPDATES_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** Longer than it takes until relays have told whom they hear. */
+  /**
+   * How long a node must rank as a relay before it becomes one: longer than it takes until relays
+   * have reported which nodes they hear.
+   */
   private static final long PROMOTION_NANOS = TimeUnit.MILLISECONDS.toNanos(700);
 
-  private static final long TELL_RELAYS_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long RELAY_LIST_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Only a node that has just started pollsEngine, and the store does not answer. */
-  private static final long LIST_ASKABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /**
+   * How often the list of askable nodes is refreshed. Only a node that has just started, and that
+   * the store does not answer, uses it.
+   */
+  private static final long REFRESH_ASKABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Greetings heal a fleet that was cut into parts, and let a node be found that all forgot. */
-  private static final long GREET_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
+  /**
+   * Greetings reunite a fleet that was cut into parts, and let a node be found that all others
+   * forgot.
+   */
+  private static final long GREETING_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
-  private static final long GREET_ALONE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  private static final long GREETING_PAUSE_ALONE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** A node that asked for listings is sent them again at most this often. */
+  /** The least time between two answers to a node that asks for all listings. */
   private static final long LISTINGS_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Nodes that are told what all count: a store may turn a third of the nodes away at once. */
+  /**
+   * The number of nodes that receive the usage counts of all others: a store may reject a third of
+   * the nodes at once.
+   */
   private static final int COLLECTORS = 3;
 
-  private static final String COLLECT = "collect";
+  private static final String COLLECT_PURPOSE = "collect";
 
   private final PeerInfo self;
   private final String node;
@@ -77,46 +101,48 @@
   private final PeerLoads loads;
   private final PeerDirectory directory;
   private final TableVersions tables;
-  private final News groupNews = new News();
-  private final News viewNews = new News();
-  private final Map<NetworkAddress, Long> toldListingsAt = new HashMap<>();
+  private final PendingUpdates groupUpdates = new PendingUpdates();
+  private final PendingUpdates viewUpdates = new PendingUpdates();
+  private final Map<NetworkAddress, Long> listingsSentAt = new HashMap<>();
   private final Set<NetworkAddress> listingRequests = new LinkedHashSet<>();
-  private final Set<NetworkAddress> welcome = new LinkedHashSet<>();
+  private final Set<NetworkAddress> pendingWelcomes = new LinkedHashSet<>();
   private volatile boolean relaying = true;
   private boolean ranksAsRelay;
   private long ranksAsRelaySinceNanos;
   private Set<PeerInfo> ranked = Set.of();
   private int rankedNodes = 1;
-  private long listedAskableNanos;
+  private long askableRefreshedNanos;
   private volatile RelayRanking ranking;
   private List<PeerInfo> collectors = List.of();
   private Optional<PeerInfo> relay = Optional.empty();
   private long relaySinceNanos;
-  private boolean busyLastTurn;
-  private boolean begun;
+  private boolean busyLastRound;
+  private boolean started;
   private boolean urgent;
   private boolean wantsListings;
   private long lastCallNanos;
-  private long lastTurnNanos;
+  private long lastRoundNanos;
   private long lastSentNanos;
   private long lastUpwardNanos;
-  private long lastRelaysNanos;
+  private long lastRelayListNanos;
   private long lastGreetingNanos;
   private long sequence;
   private final NodeCount count;
-  private boolean tableNews;
-  private boolean memberTableNews;
-  private final TableVersionPublisher upwardTeller;
-  private final TableVersionPublisher memberTeller;
+  private boolean tablesChanged;
+  private boolean tablesChangedForMembers;
+  private final TableVersionPublisher upwardVersions;
+  private final TableVersionPublisher memberVersions;
   private volatile WatchOrder watchOrder;
   private volatile List<NetworkAddress> askable = List.of();
 
   /**
-   * Knowledge of a node that knows only its seeds.
+   * Creates the overlay of a node that knows only its seeds.
    *
-   * @param incarnation rises with each start of the node's process
-   * @param beganNanos now
-   * @param loads takes what other nodes have at the engines
+   * @param self this node as the others know it
+   * @param node name of this node
+   * @param incarnation a number that rises with each start of the node's process
+   * @param seeds addresses of nodes to contact first
+   * @param loads receives the load of other nodes at the engines
    */
   public RelayOverlay(
       PeerInfo self,
@@ -124,7 +150,7 @@
       long incarnation,
       Collection<NetworkAddress> seeds,
       PeerLoads loads,
-      long beganNanos) {
+      long nowNanos) {
     this.self = self;
     this.node = node;
     this.incarnation = incarnation;
@@ -132,14 +158,14 @@
     this.loads = loads;
     this.directory = new PeerDirectory(self);
     this.tables = new TableVersions(node);
-    this.upwardTeller = new TableVersionPublisher(tables);
-    this.memberTeller = new TableVersionPublisher(tables);
-    rankAs(new RelayRanking(self, List.of(), 1));
+    this.upwardVersions = new TableVersionPublisher(tables);
+    this.memberVersions = new TableVersionPublisher(tables);
+    setRanking(new RelayRanking(self, List.of(), 1));
     this.watchOrder = WatchOrder.ofOne(!this.seeds.isEmpty());
-    this.count = new NodeCount(beganNanos);
+    this.count = new NodeCount(nowNanos);
   }
 
-  /** Takes a message. The caller passes on what it says of prompts, speeds and listings. */
+  /** Processes a message. The caller processes its prompts, speeds and listings. */
   public void onMessage(PeerMessage message, long nowNanos) {
     if (message.kind() == MessageKind.USAGE) {
       return;
@@ -148,26 +174,26 @@
     if (message.kind() != MessageKind.GREETING) {
       directory.onHeard(sender, nowNanos);
     }
-    message.relays().forEach(told -> directory.onPeerReport(told, nowNanos));
-    boolean news = tables.onPeerReport(message.tables(), nowNanos) && relaying;
-    memberTableNews |= news;
-    tableNews |= news && message.kind() != MessageKind.GROUP;
+    message.relays().forEach(peer -> directory.onPeerReport(peer, nowNanos));
+    boolean newVersions = tables.onPeerReport(message.tables(), nowNanos) && relaying;
+    tablesChangedForMembers |= newVersions;
+    tablesChanged |= newVersions && message.kind() != MessageKind.GROUP;
     if (message.wantsListings()) {
       onListingsWanted(sender.address(), nowNanos);
     }
-    takeLoad(message, nowNanos);
-    takeNews(message, nowNanos);
+    receiveLoad(message, nowNanos);
+    receiveUpdates(message, nowNanos);
   }
 
-  private void takeLoad(PeerMessage message, long nowNanos) {
+  private void receiveLoad(PeerMessage message, long nowNanos) {
     NetworkAddress speaker = message.sender().address();
     if (message.kind() == MessageKind.GREETING) {
-      welcome.add(speaker);
+      pendingWelcomes.add(speaker);
     } else if (message.kind() == MessageKind.WELCOME) {
       count.onPeerReport(message.load().nodes(), nowNanos);
     }
-    boolean strangersView = message.kind() == MessageKind.VIEW && !isRelay(message.sender());
-    if (!strangersView) {
+    boolean foreignView = message.kind() == MessageKind.VIEW && !isRelay(message.sender());
+    if (!foreignView) {
       message
           .kind()
           .source()
@@ -179,77 +205,86 @@
     return relay.isPresent() && relay.get().address().equals(sender.address());
   }
 
-  /** What a node told a relay goes on to the other relays; what relays told, to members only. */
-  private void takeNews(PeerMessage message, long nowNanos) {
+  /**
+   * Queues received updates. A relay passes on what a member reported to the other relays and its
+   * members, and what relays sent to its members only.
+   */
+  private void receiveUpdates(PeerMessage message, long nowNanos) {
     if (message.kind() == MessageKind.WELCOME) {
       return;
     }
     if (message.kind() == MessageKind.REPORT) {
-      groupNews.addPrompts(message.load().prompts());
-      groupNews.addListings(message.listings(), nowNanos);
+      groupUpdates.addPrompts(message.load().prompts());
+      groupUpdates.addListings(message.listings(), nowNanos);
     }
-    viewNews.addPrompts(message.load().prompts());
-    viewNews.addListings(message.listings(), nowNanos);
+    viewUpdates.addPrompts(message.load().prompts());
+    viewUpdates.addListings(message.listings(), nowNanos);
   }
 
   private void onListingsWanted(NetworkAddress asker, long nowNanos) {
-    toldListingsAt.values().removeIf(at -> nowNanos - at >= LISTINGS_PAUSE_NANOS);
-    if (!toldListingsAt.containsKey(asker)) {
+    listingsSentAt.values().removeIf(at -> nowNanos - at >= LISTINGS_PAUSE_NANOS);
+    if (!listingsSentAt.containsKey(asker)) {
       listingRequests.add(asker);
     }
   }
 
-  /** Prompts that this node placed. */
+  /** Adds prompts that this node placed. */
   public void addPrompts(Collection<PlacedPrompt> placed) {
-    groupNews.addPrompts(placed);
-    viewNews.addPrompts(placed);
+    groupUpdates.addPrompts(placed);
+    viewUpdates.addPrompts(placed);
   }
 
-  /** What an engine told this node. */
+  /** Adds a cache listing that an engine sent to this node. */
   public void addListing(CacheListing listing, long nowNanos) {
-    groupNews.addListings(List.of(listing), nowNanos);
-    viewNews.addListings(List.of(listing), nowNanos);
+    groupUpdates.addListings(List.of(listing), nowNanos);
+    viewUpdates.addListings(List.of(listing), nowNanos);
   }
 
-  /** Something has changed that others should know at once, not only by the next turn. */
+  /** Makes the next call of {@link #due} send messages at once rather than in the next round. */
   public void onUrgentChange() {
     urgent = true;
   }
 
-  /** Whether this node pollsEngine others for all that they know of what engines keep. */
+  /** Sets whether this node asks others for all cache listings that they know. */
   public void setWantsListings(boolean wanted) {
     wantsListings = wanted;
   }
 
-  /** Whether a node has asked for all listings; the answer is {@link #answerListings}. */
+  /**
+   * Returns whether a node has asked for all cache listings. The caller answers with {@link
+   * #answerListings}.
+   */
   public boolean hasListingRequests() {
     return !listingRequests.isEmpty();
   }
 
-  /** The messages that answer the nodes that asked for all listings. */
+  /** The messages that answer the nodes that asked for all cache listings. */
   public List<OutgoingPeerMessage> answerListings(Collection<CacheListing> all, long nowNanos) {
-    News news = new News();
-    news.addListings(all, nowNanos);
+    PendingUpdates pending = new PendingUpdates();
+    pending.addListings(all, nowNanos);
     List<OutgoingPeerMessage> answers = new ArrayList<>();
-    while (!news.isEmpty()) {
+    while (!pending.isEmpty()) {
       PeerMessage message =
           new PeerMessage(
               MessageKind.WELCOME,
               self,
               digest(new OwnLoad(Map.of(), Map.of(), List.of(), true), List.of()),
-              news.takeListings(nowNanos),
+              pending.takeListings(nowNanos),
               List.of(),
               List.of(),
               tables.all(),
               false);
       listingRequests.forEach(asker -> answers.add(new OutgoingPeerMessage(asker, message)));
     }
-    listingRequests.forEach(asker -> toldListingsAt.put(asker, nowNanos));
+    listingRequests.forEach(asker -> listingsSentAt.put(asker, nowNanos));
     listingRequests.clear();
     return answers;
   }
 
-  /** Whether this node is the one that pollsEngine an engine what it keeps, as far as it knows. */
+  /**
+   * Returns whether this node is the one that polls an engine for its cache listing, as far as this
+   * node knows: the relay that rendezvous hashing selects.
+   */
   public boolean pollsEngine(String engineId, long nowNanos) {
     if (!relaying || !directory.anyHeard(nowNanos) && !seeds.isEmpty()) {
       return false;
@@ -260,7 +295,10 @@
         .noneMatch(weight -> Long.compareUnsigned(weight, own) > 0);
   }
 
-  /** Nodes of the last minute, this one included; empty while none of several was heard. */
+  /**
+   * The highest number of nodes within the last minute, including this one; empty while this node
+   * has seeds but has heard no other node.
+   */
   public OptionalInt conservativeNodeCount(long nowNanos) {
     count.onHeard(loads.nodeCount(nowNanos), nowNanos);
     if (count.highest() <= 1) {
@@ -269,47 +307,53 @@
     return OptionalInt.of(Math.max(count.highest(), 1 + seeds.size()));
   }
 
-  /** The newest changes that any node has seen; any thread may use it. */
+  /** The newest table versions that any node has seen. May be used by any thread. */
   public TableVersions tables() {
     return tables;
   }
 
-  /** This node's place among those that watch the store; any thread may call. */
+  /** This node's position among the nodes that watch the store. May be called by any thread. */
   public WatchOrder watchOrder() {
     return watchOrder;
   }
 
-  private WatchOrder orderWatchers(long nowNanos) {
+  private WatchOrder computeWatchOrder(long nowNanos) {
     return directory.anyHeard(nowNanos)
         ? ranking.watchOrder(relay, Math.max(count.highest(), loads.nodeCount(nowNanos)))
         : WatchOrder.ofOne(!seeds.isEmpty());
   }
 
-  /** Whether a change of a table was learned that others should hear of at once. */
+  /** Returns whether a table version was learned that others should hear of at once. */
   public boolean hasUnsentTableVersions() {
-    return tableNews || memberTableNews;
+    return tablesChanged || tablesChangedForMembers;
   }
 
-  /** Whether other nodes tell this one what they count, so that it may report it for all. */
+  /**
+   * Returns whether other nodes send this node their usage counts, so that it may report usage for
+   * all.
+   */
   public boolean collects() {
     return collectors.contains(self);
   }
 
-  /** Few of the relays collect: whoever knows the same nodes tells the same. */
-  private void rankAs(RelayRanking newRanking) {
+  /**
+   * Sets the ranking and the collectors, which are a few of the relays. Nodes that know the same
+   * nodes choose the same collectors.
+   */
+  private void setRanking(RelayRanking newRanking) {
     ranking = newRanking;
-    collectors = newRanking.relaysFor(COLLECT).stream().limit(COLLECTORS).toList();
+    collectors = newRanking.relaysFor(COLLECT_PURPOSE).stream().limit(COLLECTORS).toList();
   }
 
-  /** The messages by which this node tells what it has counted. */
+  /** The messages that send this node's usage counts to the collectors. */
   public List<OutgoingPeerMessage> usageMessages(UsageNews news) {
-    LoadDigest nothing =
+    LoadDigest emptyLoad =
         new LoadDigest(node, incarnation, ++sequence, 1, "", Map.of(), List.of(), Map.of());
     PeerMessage message =
         new PeerMessage(
             MessageKind.USAGE,
             self,
-            nothing,
+            emptyLoad,
             List.of(),
             List.of(),
             List.of(),
@@ -322,90 +366,95 @@
         .toList();
   }
 
-  /** Rises with each start of this node's process. */
+  /** A number that rises with each start of this node's process. */
   public long incarnation() {
     return incarnation;
   }
 
-  /** Whether other nodes hear of the fleet only from this one. */
+  /** Returns whether other nodes receive what the fleet knows only through this node. */
   public boolean hasMembers(long nowNanos) {
     return loads.hasMembers(nowNanos);
   }
 
-  /** Some nodes heard lately, else the seeds; any thread may call. */
+  /** The nodes heard recently, or the seeds if there are none. May be called by any thread. */
   public List<NetworkAddress> askable() {
     List<NetworkAddress> heard = askable;
     return heard.isEmpty() ? seeds : heard;
   }
 
-  /** Whether this node relays, as far as it knows; any thread may call. */
+  /** Returns whether this node is a relay, as far as it knows. May be called by any thread. */
   public boolean isRelay() {
     return relaying;
   }
 
-  /** The count of nodes that was given last, 1 before; any thread may call. */
+  /** The node count that was last computed, or 1 before the first. May be called by any thread. */
   public int nodeCount() {
     return Math.max(1, count.highest());
   }
 
-  /** What is to be told now; called at each tick, and when there is news. */
+  /**
+   * The messages to send now. Called at each tick, and when there is an urgent change.
+   *
+   * @param own supplies what this node itself can report
+   */
   public List<OutgoingPeerMessage> due(Supplier<OwnLoad> own, long nowNanos) {
-    tableNews |= tables.takeNews();
-    memberTableNews |= tableNews;
-    boolean turn = !begun || urgent || tableNews || nowNanos - lastTurnNanos >= TURN_NANOS;
-    if (begun && nowNanos - lastCallNanos >= OWN_PAUSE_NANOS) {
+    tablesChanged |= tables.takeUnsent();
+    tablesChangedForMembers |= tablesChanged;
+    boolean round = !started || urgent || tablesChanged || nowNanos - lastRoundNanos >= ROUND_NANOS;
+    if (started && nowNanos - lastCallNanos >= OWN_PAUSE_NANOS) {
       relaySinceNanos = nowNanos;
     }
     lastCallNanos = nowNanos;
     List<OutgoingPeerMessage> messages = new ArrayList<>();
-    if (turn) {
-      begun = true;
+    if (round) {
+      started = true;
       urgent = false;
-      lastTurnNanos = nowNanos;
-      rank(nowNanos);
-      greet(messages, nowNanos);
+      lastRoundNanos = nowNanos;
+      updateRanking(nowNanos);
+      addGreetings(messages, nowNanos);
     }
-    if (turn || memberTableNews || newsIsDue(nowNanos)) {
-      tell(own.get(), turn, messages, nowNanos);
-      tableNews = false;
-      memberTableNews = false;
+    if (round || tablesChangedForMembers || updatesAreDue(nowNanos)) {
+      addLoadMessages(own.get(), round, messages, nowNanos);
+      tablesChanged = false;
+      tablesChangedForMembers = false;
     }
     return messages;
   }
 
-  private boolean newsIsDue(long nowNanos) {
-    if (groupNews.isEmpty() && viewNews.isEmpty()) {
+  private boolean updatesAreDue(long nowNanos) {
+    if (groupUpdates.isEmpty() && viewUpdates.isEmpty()) {
       return false;
     }
     boolean alone = !loads.hasMembers(nowNanos);
-    if (groupNews.isEmpty() && alone) {
+    if (groupUpdates.isEmpty() && alone) {
       return false;
     }
-    return nowNanos - lastSentNanos >= (alone ? NEWS_PAUSE_NANOS : GATHERED_NEWS_PAUSE_NANOS);
+    return nowNanos - lastSentNanos >= (alone ? UPDATE_PAUSE_NANOS : GATHERED_UPDATES_PAUSE_NANOS);
   }
 
-  private void rank(long nowNanos) {
+  private void updateRanking(long nowNanos) {
     leaveSilentRelay(nowNanos);
-    rankAnewWhenNodesChanged(nowNanos);
+    rerankIfNodesChanged(nowNanos);
     relaying = mayRelay(nowNanos);
     Optional<PeerInfo> chosen = relaying ? Optional.empty() : ranking.relayOfThisNode();
-    boolean stays = relay.isPresent() && ranking.relays().contains(relay.get());
-    if (chosen.isEmpty() || !stays) {
+    boolean relayRemains = relay.isPresent() && ranking.relays().contains(relay.get());
+    if (chosen.isEmpty() || !relayRemains) {
       if (!chosen.equals(relay)) {
         relaySinceNanos = nowNanos;
       }
       relay = chosen;
     }
-    watchOrder = orderWatchers(nowNanos);
-    if (nowNanos - listedAskableNanos >= LIST_ASKABLE_NANOS) {
-      listedAskableNanos = nowNanos;
+    watchOrder = computeWatchOrder(nowNanos);
+    if (nowNanos - askableRefreshedNanos >= REFRESH_ASKABLE_NANOS) {
+      askableRefreshedNanos = nowNanos;
       askable = directory.heard(nowNanos);
     }
   }
 
   /**
-   * Whether this node relays now. One that did not waits until it has ranked so for a while, since
-   * it may merely have ceased to hear of others; at once where there is no other.
+   * Returns whether this node is a relay now. A node that was none waits until it has ranked as one
+   * for a while, since it may merely have stopped hearing others. It does not wait if there is no
+   * other relay.
    */
   private boolean mayRelay(long nowNanos) {
     if (!ranking.isRelay()) {
@@ -421,14 +470,14 @@
         || ranking.relayOfThisNode().isEmpty();
   }
 
-  private void rankAnewWhenNodesChanged(long nowNanos) {
+  private void rerankIfNodesChanged(long nowNanos) {
     List<PeerInfo> known = directory.known(nowNanos);
     int nodes = loads.nodeCount(nowNanos);
     boolean same = known.size() == ranked.size() && ranked.containsAll(known);
     if (nodes != rankedNodes || !same) {
       ranked = Set.copyOf(known);
       rankedNodes = nodes;
-      rankAs(new RelayRanking(self, known, nodes));
+      setRanking(new RelayRanking(self, known, nodes));
     }
   }
 
@@ -442,9 +491,9 @@
     }
   }
 
-  private void greet(List<OutgoingPeerMessage> messages, long nowNanos) {
+  private void addGreetings(List<OutgoingPeerMessage> messages, long nowNanos) {
     boolean alone = !directory.anyHeard(nowNanos);
-    long pause = alone ? GREET_ALONE_NANOS : GREET_NANOS;
+    long pause = alone ? GREETING_PAUSE_ALONE_NANOS : GREETING_PAUSE_NANOS;
     if (lastGreetingNanos == 0 || nowNanos - lastGreetingNanos >= pause) {
       lastGreetingNanos = nowNanos;
       if (alone) {
@@ -454,11 +503,14 @@
           .nextToGreet(seeds, nowNanos)
           .ifPresent(peer -> messages.add(greeting(MessageKind.GREETING, peer, nowNanos)));
     }
-    welcome.forEach(peer -> messages.add(greeting(MessageKind.WELCOME, peer, nowNanos)));
-    welcome.clear();
+    pendingWelcomes.forEach(peer -> messages.add(greeting(MessageKind.WELCOME, peer, nowNanos)));
+    pendingWelcomes.clear();
   }
 
-  /** Says who the relays are, but nothing of load, since its target may not rank before this. */
+  /**
+   * Creates a message that lists the relays, but contains no load, since its target may not rank
+   * before this node.
+   */
   private OutgoingPeerMessage greeting(MessageKind kind, NetworkAddress peer, long nowNanos) {
     LoadDigest countOnly =
         new LoadDigest(
@@ -476,39 +528,43 @@
             false));
   }
 
-  private void tell(OwnLoad own, boolean turn, List<OutgoingPeerMessage> messages, long nowNanos) {
-    boolean tellRelays = nowNanos - lastRelaysNanos >= TELL_RELAYS_NANOS;
-    List<KnownPeer> relays = tellRelays ? candidates(nowNanos) : List.of();
-    if (tellRelays) {
-      lastRelaysNanos = nowNanos;
+  private void addLoadMessages(
+      OwnLoad own, boolean round, List<OutgoingPeerMessage> messages, long nowNanos) {
+    boolean includeRelays = nowNanos - lastRelayListNanos >= RELAY_LIST_NANOS;
+    List<KnownPeer> relays = includeRelays ? candidates(nowNanos) : List.of();
+    if (includeRelays) {
+      lastRelayListNanos = nowNanos;
     }
     boolean busy =
         !own.engines().isEmpty() || !own.crashes().isEmpty() || loads.hasMembers(nowNanos);
     boolean upward =
-        !groupNews.isEmpty()
-            || turn && (busy || busyLastTurn || tableNews)
+        !groupUpdates.isEmpty()
+            || round && (busy || busyLastRound || tablesChanged)
             || nowNanos - lastUpwardNanos >= HEARTBEAT_NANOS;
-    if (turn) {
-      busyLastTurn = busy;
+    if (round) {
+      busyLastRound = busy;
     }
     if (upward) {
-      tellUpward(own, relays, messages, nowNanos);
+      addUpwardMessages(own, relays, messages, nowNanos);
     }
-    tellMembers(own, turn, relays, messages, nowNanos);
+    addViewMessages(own, round, relays, messages, nowNanos);
   }
 
   private List<KnownPeer> candidates(long nowNanos) {
     return directory.withAges(ranking.candidates(), nowNanos);
   }
 
-  /** To the relay of this node, or as a relay to the others. */
-  private void tellUpward(
+  /**
+   * Adds the report to this node's relay or, if this node is a relay, the messages to the other
+   * relays.
+   */
+  private void addUpwardMessages(
       OwnLoad own, List<KnownPeer> relays, List<OutgoingPeerMessage> messages, long nowNanos) {
     lastUpwardNanos = nowNanos;
     lastSentNanos = nowNanos;
-    LoadDigest group = loads.group(digest(own, groupNews.takePrompts()), nowNanos);
-    List<CacheListing> listings = groupNews.takeListings(nowNanos);
-    Map<String, Long> versions = upwardTeller.next(tableNews, nowNanos);
+    LoadDigest group = loads.group(digest(own, groupUpdates.takePrompts()), nowNanos);
+    List<CacheListing> listings = groupUpdates.takeListings(nowNanos);
+    Map<String, Long> versions = upwardVersions.next(tablesChanged, nowNanos);
     if (relay.isPresent()) {
       PeerMessage report =
           new PeerMessage(
@@ -530,21 +586,25 @@
     PeerMessage toOthers =
         new PeerMessage(
             MessageKind.GROUP, self, group, listings, own.crashes(), relays, versions, false);
-    Optional<NetworkAddress> asked = wantsListings ? firstHeard(nowNanos) : Optional.empty();
+    Optional<NetworkAddress> listingSource =
+        wantsListings ? firstHeard(nowNanos) : Optional.empty();
     for (NetworkAddress target : relayTargets(nowNanos)) {
-      boolean pollsEngine = asked.filter(target::equals).isPresent();
+      boolean askForListings = listingSource.filter(target::equals).isPresent();
       messages.add(
-          new OutgoingPeerMessage(target, pollsEngine ? toOthers.askingForListings() : toOthers));
+          new OutgoingPeerMessage(
+              target, askForListings ? toOthers.askingForListings() : toOthers));
     }
   }
 
   private Optional<NetworkAddress> firstHeard(long nowNanos) {
     return relayTargets(nowNanos).stream()
-        .filter(target -> directory.heardLately(target, nowNanos))
+        .filter(target -> directory.heardRecently(target, nowNanos))
         .findFirst();
   }
 
-  /** The relays that are known, and whoever takes itself for one and tells this node so. */
+  /**
+   * The known relays, and every node that considers itself a relay and sends this node its group.
+   */
   private Set<NetworkAddress> relayTargets(long nowNanos) {
     Set<NetworkAddress> targets = new LinkedHashSet<>();
     ranking.relays().stream()
@@ -554,25 +614,25 @@
     return targets;
   }
 
-  private void tellMembers(
+  private void addViewMessages(
       OwnLoad own,
-      boolean turn,
+      boolean round,
       List<KnownPeer> relays,
       List<OutgoingPeerMessage> messages,
       long nowNanos) {
     if (!loads.hasMembers(nowNanos)) {
-      viewNews.clear();
+      viewUpdates.clear();
       return;
     }
-    if (!turn && !memberTableNews && viewNews.isEmpty() && own.crashes().isEmpty()) {
+    if (!round && !tablesChangedForMembers && viewUpdates.isEmpty() && own.crashes().isEmpty()) {
       return;
     }
     lastSentNanos = nowNanos;
-    LoadDigest told = digest(own, viewNews.takePrompts());
-    Map<String, Long> versions = memberTeller.next(memberTableNews, nowNanos);
-    List<CacheListing> listings = viewNews.takeListings(nowNanos);
+    LoadDigest ownDigest = digest(own, viewUpdates.takePrompts());
+    Map<String, Long> versions = memberVersions.next(tablesChangedForMembers, nowNanos);
+    List<CacheListing> listings = viewUpdates.takeListings(nowNanos);
     loads
-        .views(told, nowNanos)
+        .views(ownDigest, nowNanos)
         .forEach(
             (member, view) ->
                 messages.add(
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayRanking.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayRanking.java
@@ -11,30 +11,32 @@
 import org.fallturn.core.membership.RendezvousHash;
 
 /**
- * Which nodes relay: the strongest of each zone, and none that is weak beside the strongest of all.
- * Whoever knows the same nodes ranks them alike; who knows others may take itself for a relay,
- * which costs messages and nothing else. Thread-safe.
+ * Selects the relays among the known nodes: the strongest of each zone, except nodes that are weak
+ * compared with the strongest of all. Nodes that know the same nodes select the same relays. A node
+ * that knows different ones may consider itself a relay; this costs messages and does no other
+ * harm. Thread-safe.
  */
 final class RelayRanking {
 
   /**
-   * Relays of a fleet at least, so that a fleet of up to so many nodes needs none in between: the
-   * number of peers that a node told each turn before there were relays. Others were not tried.
+   * The least number of relays of a fleet, so that in a fleet of up to this many nodes each sends
+   * to all others directly.
    */
-  private static final int LEAST_RELAYS = 12;
+  private static final int MIN_RELAYS = 12;
 
-  /** A relay can carry at least this part of what the strongest node can. */
-  private static final double LEAST_CAPACITY_PART = 0.5;
+  /** The least capacity of a relay, relative to that of the strongest node. */
+  private static final double MIN_CAPACITY_FRACTION = 0.5;
 
   /**
-   * Of each zone, nodes beside the relays that all are told of, so that all choose the same next.
+   * The number of further nodes of each zone that all nodes are told of, so that all select the
+   * same next relay.
    */
-  private static final int SPARE = 2;
+  private static final int SPARES_PER_ZONE = 2;
 
-  /** Nodes that are asked for rows: one may be cut off while another restarts. */
-  private static final int ROW_TELLERS = 3;
+  /** The number of nodes that are asked for rows: one may be cut off while another restarts. */
+  private static final int ROW_SOURCES = 3;
 
-  private static final String WATCH = "watch";
+  private static final String WATCH_PURPOSE = "watch";
 
   private static final Comparator<PeerInfo> STRONGEST_FIRST =
       (left, right) -> left.equals(right) ? 0 : left.ranksBefore(right) ? -1 : 1;
@@ -44,26 +46,29 @@
   private final List<PeerInfo> candidates;
   private final List<PeerInfo> watchers;
 
-  /** Nodes ask at each turn, and the order changes only with the ranking. */
+  /**
+   * Cache of the orders: nodes ask for them in each round, and they change only with the ranking.
+   */
   private final Map<String, List<PeerInfo>> byPurpose = new ConcurrentHashMap<>();
 
   /**
-   * Ranks the nodes that are known.
+   * Ranks the known nodes.
    *
+   * @param self this node
    * @param known the other nodes
-   * @param nodeCount how many nodes there are, known or not
+   * @param nodeCount the number of nodes, known or not
    */
   RelayRanking(PeerInfo self, List<PeerInfo> known, int nodeCount) {
     this.self = self;
     List<PeerInfo> all = new ArrayList<>(known);
     all.add(self);
     all.sort(STRONGEST_FIRST);
-    double least = LEAST_CAPACITY_PART * all.get(0).capacity();
-    List<PeerInfo> strong = all.stream().filter(peer -> peer.capacity() >= least).toList();
-    int quota = relaysAZone(strong, nodeCount);
-    relays = strongestOfEachZone(strong, quota);
-    candidates = strongestOfEachZone(strong, quota + SPARE);
-    watchers = relaysFor(WATCH);
+    double minCapacity = MIN_CAPACITY_FRACTION * all.get(0).capacity();
+    List<PeerInfo> strong = all.stream().filter(peer -> peer.capacity() >= minCapacity).toList();
+    int perZone = relaysPerZone(strong, nodeCount);
+    relays = strongestOfEachZone(strong, perZone);
+    candidates = strongestOfEachZone(strong, perZone + SPARES_PER_ZONE);
+    watchers = relaysFor(WATCH_PURPOSE);
   }
 
   private static List<PeerInfo> strongestOfEachZone(List<PeerInfo> strongestFirst, int count) {
@@ -77,24 +82,27 @@
     return List.copyOf(chosen);
   }
 
-  /** Relays tell each other and those that report to them: the sum is least at the square root. */
-  private static int relaysAZone(List<PeerInfo> strong, int nodeCount) {
-    double wanted = Math.max(LEAST_RELAYS, Math.sqrt(nodeCount));
+  /**
+   * The number of relays per zone. Relays send messages to each other and to their members; the sum
+   * is least when the relays number the square root of the nodes.
+   */
+  private static int relaysPerZone(List<PeerInfo> strong, int nodeCount) {
+    double wanted = Math.max(MIN_RELAYS, Math.sqrt(nodeCount));
     long zones = strong.stream().map(PeerInfo::zone).distinct().count();
     return (int) Math.ceil(wanted / zones);
   }
 
-  /** The relays, this node perhaps among them. */
+  /** The relays, possibly including this node. */
   List<PeerInfo> relays() {
     return relays;
   }
 
-  /** The relays in an order that all nodes give them alike, another for each purpose. */
+  /** The relays in an order that depends on the purpose and is the same at all nodes. */
   List<PeerInfo> relaysFor(String purpose) {
-    return byPurpose.computeIfAbsent(purpose, this::inOrder);
+    return byPurpose.computeIfAbsent(purpose, this::sortForPurpose);
   }
 
-  private List<PeerInfo> inOrder(String purpose) {
+  private List<PeerInfo> sortForPurpose(String purpose) {
     Comparator<PeerInfo> byWeight =
         Comparator.comparing(
             (PeerInfo relay) -> RendezvousHash.weight(purpose, relay.address().toString()),
@@ -103,52 +111,52 @@
   }
 
   /**
-   * This node's place among those that watch the store: the relays in an order of its own, so that
-   * the strongest need not do everything, and then all others.
+   * This node's position among the nodes that watch the store: first the relays, in an order of its
+   * own, so that the strongest need not do everything, then all other nodes.
    *
    * @param relay the relay that this node reports to
-   * @param nodes how many nodes there are
+   * @param nodes the number of nodes
    */
   WatchOrder watchOrder(Optional<PeerInfo> relay, int nodes) {
     int own = watchers.indexOf(self);
     int rank = own < 0 ? watchers.size() : own;
-    return new WatchOrder(rank, nodes, false, true, rowTellers(relay));
+    return new WatchOrder(rank, nodes, false, true, rowSources(relay));
   }
 
   /**
-   * Its relay twice, which is near and tells of a change before it has the rows; then those that
-   * watch, which have them first.
+   * The nodes to ask for rows. First, twice, this node's relay, which is near and reports a change
+   * before it has the rows; then the nodes that watch the store, which have the rows first.
    */
-  private List<NetworkAddress> rowTellers(Optional<PeerInfo> relay) {
-    List<NetworkAddress> tellers = new ArrayList<>();
-    relay.ifPresent(nearest -> tellers.addAll(List.of(nearest.address(), nearest.address())));
+  private List<NetworkAddress> rowSources(Optional<PeerInfo> relay) {
+    List<NetworkAddress> sources = new ArrayList<>();
+    relay.ifPresent(nearest -> sources.addAll(List.of(nearest.address(), nearest.address())));
     watchers.stream()
         .filter(peer -> !peer.equals(self))
-        .limit(ROW_TELLERS)
-        .forEach(peer -> tellers.add(peer.address()));
-    return tellers;
+        .limit(ROW_SOURCES)
+        .forEach(peer -> sources.add(peer.address()));
+    return sources;
   }
 
-  /** The relays, and those who take their places when they are lost. */
+  /** The relays, and the nodes that replace them when they are lost. */
   List<PeerInfo> candidates() {
     return candidates;
   }
 
-  /** Whether this node is one. */
+  /** Returns whether this node is a relay. */
   boolean isRelay() {
     return relays.contains(self);
   }
 
   /**
-   * The relay that this node reports to when it does not relay itself; empty when there is none.
-   * Only one that ranks before it, so that reports never go round in a circle.
+   * The relay that this node reports to if it is not a relay itself; empty when there is none. The
+   * relay always ranks before this node, so that reports never go round in a circle.
    */
   Optional<PeerInfo> relayOfThisNode() {
-    Comparator<PeerInfo> nearFirst =
+    Comparator<PeerInfo> sameZoneFirst =
         Comparator.comparing((PeerInfo relay) -> !relay.zone().equals(self.zone()));
     return relays.stream()
         .filter(relay -> relay.ranksBefore(self))
-        .min(nearFirst.thenComparing(this::weight, Comparator.reverseOrder()));
+        .min(sameZoneFirst.thenComparing(this::weight, Comparator.reverseOrder()));
   }
 
   private long weight(PeerInfo relay) {
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersionPublisher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersionPublisher.java
@@ -4,30 +4,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When messages of one direction bear what is known of the tables: at once when it is new, and
- * again now and then, since a datagram may be lost. In every message it would be a good part of the
- * bytes between zones.
+ * Decides which messages of one direction contain the known table versions: the next ones after a
+ * change, and one now and then, since a datagram may be lost. In every message they would be a
+ * large part of the bytes between zones.
  */
 final class TableVersionPublisher {
 
-  /** Within which a lost message is made good. */
+  /** The time within which a lost message is made good. */
   private static final long REPEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
   private final TableVersions tables;
-  private boolean begun;
-  private long lastNanos;
+  private boolean started;
+  private long lastIncludedNanos;
 
   TableVersionPublisher(TableVersions tables) {
     this.tables = tables;
   }
 
-  /** What the messages that are sent now bear. */
-  Map<String, Long> next(boolean news, long nowNanos) {
-    if (begun && !news && nowNanos - lastNanos < REPEAT_NANOS) {
+  /**
+   * The table versions that the messages sent now contain; empty when they contain none.
+   *
+   * @param changed whether a version has changed since the last call
+   */
+  Map<String, Long> next(boolean changed, long nowNanos) {
+    if (started && !changed && nowNanos - lastIncludedNanos < REPEAT_NANOS) {
       return Map.of();
     }
-    begun = true;
-    lastNanos = nowNanos;
+    started = true;
+    lastIncludedNanos = nowNanos;
     return tables.all();
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
@@ -6,106 +6,127 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * The newest change of each followed table that any node has seen, and the latest time of the
- * store's clock at which any node knew that there was no newer one. A node whose own position is
- * before the newest change has missed one; a table whose time stands still is watched by nobody.
+ * The newest version of each followed table that any node has seen, and the latest time, by the
+ * store's clock, at which the store confirmed to any node that there was no newer one. A node whose
+ * own version is older than the newest has missed a change. A table whose confirmed time does not
+ * advance is watched by no node.
  *
- * <p>Invariant: neither a version nor a time goes back, so that nodes may repeat what they have
- * heard. Thread-safe.
+ * <p>Invariant: versions and times never decrease, so that nodes may repeat what they have
+ * received. Thread-safe.
  */
 public final class TableVersions {
 
-  /** Builds that know no confirmations pass them on as versions of a table of this name. */
+  /**
+   * Marks a confirmation. Builds that do not know confirmations pass them on as versions of a table
+   * with this suffix in its name.
+   */
   private static final String CONFIRMED_SUFFIX = "@";
 
-  /** Tells confirmations of several nodes at the same time apart, and those of its own. */
-  private static final int TAGS = 1 << 10;
+  /**
+   * The number of tags. A tag distinguishes confirmations of several nodes at the same time, and
+   * lets a node recognize its own.
+   */
+  private static final int TAG_COUNT = 1 << 10;
 
   private final Map<String, Long> newest = new ConcurrentHashMap<>();
-  private final Map<String, Long> newestTold = new ConcurrentHashMap<>();
-  private final Map<String, Long> toldAtNanos = new ConcurrentHashMap<>();
-  private final AtomicBoolean hasNews = new AtomicBoolean();
+  private final Map<String, Long> newestFromPeers = new ConcurrentHashMap<>();
+  private final Map<String, Long> peerReportedAtNanos = new ConcurrentHashMap<>();
+  private final AtomicBoolean hasUnsent = new AtomicBoolean();
   private final int tag;
-  private volatile Runnable onNews = () -> {};
+  private volatile Runnable onNewerVersion = () -> {};
 
   /**
-   * What a node knows that has heard nothing.
+   * Creates the versions of a node that has received nothing.
    *
-   * @param node its name
+   * @param node name of this node
    */
   public TableVersions(String node) {
-    this.tag = Math.floorMod(node.hashCode(), TAGS);
+    this.tag = Math.floorMod(node.hashCode(), TAG_COUNT);
   }
 
-  /** Calls back after each newer change or time that is learned, on the thread that learns it. */
+  /**
+   * Sets a callback that runs after each newer version or time that other nodes report, on the
+   * thread that processes the report.
+   */
   public void setOnNewerVersion(Runnable callback) {
-    onNews = callback;
+    onNewerVersion = callback;
   }
 
-  /** This node has seen a change. */
+  /** Handles a change that this node has seen. */
   public void onSeen(String table, long version) {
     if (raise(newest, table, version)) {
-      hasNews.set(true);
+      hasUnsent.set(true);
     }
   }
 
-  /** The store answered this node, when its clock showed this time. */
+  /**
+   * Handles the store's answer to this node that there is no newer version.
+   *
+   * @param storeMillis time of the store's clock in ms
+   */
   public void onConfirmed(String table, long storeMillis) {
-    if (raise(newest, table + CONFIRMED_SUFFIX, storeMillis * TAGS + tag)) {
-      hasNews.set(true);
+    if (raise(newest, table + CONFIRMED_SUFFIX, storeMillis * TAG_COUNT + tag)) {
+      hasUnsent.set(true);
     }
   }
 
   /**
-   * Another node told.
+   * Handles the versions that another node reported.
    *
-   * @return whether anything of it was new
+   * @return whether any of them was newer
    */
-  boolean onPeerReport(Map<String, Long> told, long nowNanos) {
-    boolean news = false;
-    for (Map.Entry<String, Long> entry : told.entrySet()) {
-      news |= raise(newest, entry.getKey(), entry.getValue());
-      if (!isOwn(entry) && raise(newestTold, entry.getKey(), entry.getValue())) {
-        toldAtNanos.put(entry.getKey(), nowNanos);
+  boolean onPeerReport(Map<String, Long> reported, long nowNanos) {
+    boolean learned = false;
+    for (Map.Entry<String, Long> entry : reported.entrySet()) {
+      learned |= raise(newest, entry.getKey(), entry.getValue());
+      if (!isOwn(entry) && raise(newestFromPeers, entry.getKey(), entry.getValue())) {
+        peerReportedAtNanos.put(entry.getKey(), nowNanos);
       }
     }
-    if (news) {
-      onNews.run();
+    if (learned) {
+      onNewerVersion.run();
     }
-    return news;
+    return learned;
   }
 
-  /** What this node confirmed comes back from others, which does not make it theirs. */
-  private boolean isOwn(Map.Entry<String, Long> told) {
-    return told.getKey().endsWith(CONFIRMED_SUFFIX) && Math.floorMod(told.getValue(), TAGS) == tag;
+  /**
+   * Returns whether this node made the confirmation. It comes back from others, but still does not
+   * count as a confirmation by them.
+   */
+  private boolean isOwn(Map.Entry<String, Long> reported) {
+    return reported.getKey().endsWith(CONFIRMED_SUFFIX)
+        && Math.floorMod(reported.getValue(), TAG_COUNT) == tag;
   }
 
   private static boolean raise(Map<String, Long> values, String name, long value) {
-    Long before = values.get(name);
-    if (before != null && before >= value) {
+    Long previous = values.get(name);
+    if (previous != null && previous >= value) {
       return false;
     }
     values.merge(name, value, Math::max);
     return true;
   }
 
-  /** Whether this node has learned something of the store since the last call. */
-  boolean takeNews() {
-    return hasNews.getAndSet(false);
+  /** Returns whether this node has learned something from the store since the last call. */
+  boolean takeUnsent() {
+    return hasUnsent.getAndSet(false);
   }
 
-  /** The newest change of a table that was seen by any node; 0 when none was. */
+  /** The newest version of a table that any node has seen; 0 when none has seen any. */
   public long newest(String table) {
     return newest.getOrDefault(table, 0L);
   }
 
-  /** Time since another node told that the store had answered; the greatest value for never. */
+  /**
+   * The time in ns since another node reported that the store had answered it; {@link
+   * Long#MAX_VALUE} if none did.
+   */
   public long sinceConfirmedByOthers(String table, long nowNanos) {
-    Long at = toldAtNanos.get(table + CONFIRMED_SUFFIX);
+    Long at = peerReportedAtNanos.get(table + CONFIRMED_SUFFIX);
     return at == null ? Long.MAX_VALUE : Math.max(0, nowNanos - at);
   }
 
-  /** All tables, with what is confirmed of them. */
+  /** The versions of all tables, with their confirmations. */
   Map<String, Long> all() {
     return new HashMap<>(newest);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/package-info.java
@@ -1,7 +1,8 @@
 /**
- * What nodes tell each other, and through whom: a few strong nodes of each zone relay what all have
- * at the engines, so that messages and bytes a node hardly depend on how many nodes there are. No
- * election: each node ranks those that it knows, and two that rank differently do no harm. Pure:
- * one thread calls, time is passed in as nanoseconds of a steady clock.
+ * The exchange of load between nodes over relays: a few strong nodes of each zone pass on the load
+ * of all nodes at the engines, so that messages and bytes per node hardly depend on the number of
+ * nodes. There is no election: each node ranks the nodes that it knows, and nodes that rank them
+ * differently do no harm. Performs no I/O: one thread calls and passes in the time as nanoseconds
+ * of a monotonic clock.
  */
 package org.fallturn.core.peers;
