--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -296,8 +296,8 @@
   }
 
   /**
-   * The highest number of nodes within the last minute, including this one; empty while this node
-   * has seeds but has heard no other node.
+   * The highest number of nodes within the last minute, including this one, but at least this node
+   * and its seeds; empty if this node has seeds and counted no other node within that time.
    */
   public OptionalInt conservativeNodeCount(long nowNanos) {
     count.onHeard(loads.nodeCount(nowNanos), nowNanos);
@@ -580,7 +580,7 @@
       return;
     }
     if (!directory.anyHeard(nowNanos)) {
-      // Whoever hears nobody cannot be heard to relay: the others would report to it in vain.
+      // A node that hears no other must not appear as a relay: others would report to it in vain.
       return;
     }
     PeerMessage toOthers =
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
@@ -14,7 +14,9 @@
 import org.fallturn.core.following.FollowStep;
 import org.fallturn.core.peers.SimulatedFleet.Node;
 
-/** Nodes of a simulated fleet that follow one table of a store, each by its own plan. */
+/**
+ * Nodes of a simulated fleet that follow one table of a store, each by its own {@link FollowPlan}.
+ */
 final class FollowedFleet {
 
   static final String TABLE = "engines";
@@ -22,9 +24,9 @@
   private static final FollowBounds BOUNDS =
       FollowBounds.of(Duration.ofSeconds(3), Duration.ofSeconds(4));
   private static final int STEP_MILLIS = 5;
-  private static final int GATHER_MILLIS = 250;
-  private static final int BEHIND_MILLIS = 300;
-  private static final int CALL_MILLIS = 1_000;
+  private static final int PAUSE_AFTER_CHANGE_MILLIS = 250;
+  private static final int MIN_HELD_MILLIS = 300;
+  private static final int CALL_TIMEOUT_MILLIS = 1_000;
 
   final SimulatedFleet fleet;
   final Map<NetworkAddress, Follower> followers = new HashMap<>();
@@ -50,8 +52,13 @@
     }
   }
 
-  /** The store takes a change; how long until all that run know it, at the most as long as said. */
-  int changeKnownAfter(int mostMillis) {
+  /**
+   * Changes the table and runs the fleet until all running nodes know the change.
+   *
+   * @param mostMillis the longest time to run, in ms
+   * @return the time until then, in ms
+   */
+  int millisUntilChangeIsKnown(int mostMillis) {
     storeVersion++;
     for (int passed = 0; passed < mostMillis; passed += STEP_MILLIS) {
       if (behind().isEmpty()) {
@@ -68,7 +75,7 @@
         .toList();
   }
 
-  /** Those who come first in the order of watchers, as the first of them sees it. */
+  /** The followers that rank first as watchers, each by its own view. */
   List<Follower> firstWatchers(int count) {
     List<Follower> ranked = new ArrayList<>(followers.values());
     ranked.sort((a, b) -> Integer.compare(a.rank(), b.rank()));
@@ -81,7 +88,7 @@
     return calls - before;
   }
 
-  /** One node. */
+  /** One node that follows the table. */
   final class Follower {
     final Node node;
     private final FollowPlan plan = new FollowPlan(BOUNDS);
@@ -90,7 +97,7 @@
     long position;
     private FollowStep step;
     private FollowSight sight;
-    private long begunNanos;
+    private long stepStartNanos;
     private long idleUntilNanos;
     private long answeredNanos = -1;
     private int turn;
@@ -108,7 +115,7 @@
       fleet.kill(node);
     }
 
-    private FollowSight look(long now) {
+    private FollowSight currentSight(long now) {
       return new FollowSight(
           position > 0,
           position == 0,
@@ -121,32 +128,32 @@
 
     private void run() {
       long now = fleet.nowNanos();
-      if (now < idleUntilNanos && !plan.isBehind(look(now), now)) {
+      if (now < idleUntilNanos && !plan.isBehind(currentSight(now), now)) {
         return;
       }
       if (step == null) {
-        sight = look(now);
+        sight = currentSight(now);
         step = plan.next(sight, now);
-        begunNanos = now;
+        stepStartNanos = now;
         calls += step.kind().source() == FollowStep.Source.STORE ? 1 : 0;
       }
-      if (carryOut(now)) {
+      if (runStep(now)) {
         step = null;
       }
     }
 
-    /** Returns whether the step is over. */
-    private boolean carryOut(long now) {
-      boolean over = now - begunNanos >= step.nanos();
+    /** Runs the present step and returns whether it is over. */
+    private boolean runStep(long now) {
+      boolean timeIsUp = now - stepStartNanos >= step.nanos();
       return switch (step.kind()) {
-        case LISTEN -> over || look(now).newest() > sight.newest();
-        case ASK -> over && ask();
-        default -> call(over, now);
+        case LISTEN -> timeIsUp || currentSight(now).newest() > sight.newest();
+        case ASK -> timeIsUp && askNodes();
+        default -> call(timeIsUp, now);
       };
     }
 
-    private boolean ask() {
-      for (NetworkAddress address : asked()) {
+    private boolean askNodes() {
+      for (NetworkAddress address : nodesToAsk()) {
         Follower peer = followers.get(address);
         position = peer.killed ? position : Math.max(position, peer.position);
       }
@@ -154,7 +161,7 @@
       return true;
     }
 
-    private List<NetworkAddress> asked() {
+    private List<NetworkAddress> nodesToAsk() {
       if (step.candidate() >= 0) {
         return List.of(sight.order().askable().get(step.candidate()));
       }
@@ -163,19 +170,19 @@
       return heard.subList(0, Math.min(4, heard.size()));
     }
 
-    private boolean call(boolean over, long now) {
+    private boolean call(boolean timeIsUp, long now) {
       if (access == Access.REFUSED) {
-        plan.onFailed(look(now), now);
+        plan.onFailed(currentSight(now), now);
         return true;
       }
       if (access == Access.SILENT) {
-        return silent(now);
+        return waitForSilentStore(now);
       }
-      if (!over && storeVersion == position) {
-        return !plan.trusts(look(now), now - begunNanos);
+      if (!timeIsUp && storeVersion == position) {
+        return !plan.trusts(currentSight(now), now - stepStartNanos);
       }
       if (storeVersion > position) {
-        idleUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(GATHER_MILLIS);
+        idleUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(PAUSE_AFTER_CHANGE_MILLIS);
         node.overlay.tables().onSeen(TABLE, storeVersion);
       }
       position = storeVersion;
@@ -186,14 +193,14 @@
       return true;
     }
 
-    private boolean silent(long now) {
-      long held = now - begunNanos;
-      FollowSight seen = look(now);
-      if (held >= step.nanos() + TimeUnit.MILLISECONDS.toNanos(CALL_MILLIS)) {
+    private boolean waitForSilentStore(long now) {
+      long held = now - stepStartNanos;
+      FollowSight seen = currentSight(now);
+      if (held >= step.nanos() + TimeUnit.MILLISECONDS.toNanos(CALL_TIMEOUT_MILLIS)) {
         plan.onFailed(seen, now);
         return true;
       }
-      if (held >= TimeUnit.MILLISECONDS.toNanos(BEHIND_MILLIS) && plan.isBehind(seen, now)) {
+      if (held >= TimeUnit.MILLISECONDS.toNanos(MIN_HELD_MILLIS) && plan.isBehind(seen, now)) {
         plan.onSilent();
         return true;
       }
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleetTest.java
@@ -11,15 +11,16 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What nodes that ask each other for rows know, and how often they call the store: all within the
- * bound of three seconds, with calls that hardly depend on the number of nodes.
+ * Guards against nodes that learn of a change too late, or call the store too often, when they ask
+ * each other for rows. All must know a change within the bound of three seconds, with calls that
+ * hardly depend on the number of nodes.
  */
 class FollowedFleetTest {
 
   private static final int NODES = 100;
   private static final int SETTLED_MILLIS = 3_000;
 
-  /** The bound on changes, with some time left for what follows from them. */
+  /** The bound on changes, less some time for what follows from them. */
   private static final int BOUND_MILLIS = 2_500;
 
   private static FollowedFleet settled(long seed, int nodes, double loss) {
@@ -39,9 +40,10 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 8, 100})
-  void oneChangeCostsFewCalls(int nodes) {
+  void changeCostsFewCalls(int nodes) {
     FollowedFleet fleet = settled(1, nodes, 0);
-    int calls = fleet.callsWhile(() -> assertThat(fleet.changeKnownAfter(1_000)).isLessThan(300));
+    int calls =
+        fleet.callsWhile(() -> assertThat(fleet.millisUntilChangeIsKnown(1_000)).isLessThan(300));
     assertThat(calls).isLessThanOrEqualTo(4);
   }
 
@@ -52,7 +54,7 @@
   }
 
   @Test
-  void nodesThatStartAtOnceReadOnce() {
+  void nodesThatStartTogetherReadOnce() {
     FollowedFleet fleet = new FollowedFleet(fleet(3, NODES));
     fleet.run(SETTLED_MILLIS);
     assertThat(fleet.calls).isLessThan(NODES * 3 / 2);
@@ -60,71 +62,73 @@
   }
 
   @Test
-  void lostDatagramsAreNoReasonForAllToCall() {
+  void lostDatagramsDoNotMakeAllNodesCall() {
     FollowedFleet fleet = settled(4, NODES, 0.1);
     assertThat(fleet.callsWhile(() -> fleet.run(20_000))).isLessThan(NODES);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(1_000);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(1_000);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 12})
-  void changeIsKnownInTimeThoughWatchersAreKilled(int killed) {
+  void changeIsKnownInTimeWhenWatchersAreKilled(int killed) {
     FollowedFleet fleet = settled(5, NODES, 0);
     fleet.firstWatchers(killed).forEach(Follower::kill);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
     fleet.run(SETTLED_MILLIS);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(500);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(500);
   }
 
   @ParameterizedTest
   @EnumSource(
       value = Access.class,
       names = {"REFUSED", "SILENT"})
-  void changeIsKnownInTimeThoughTheStoreTurnsTheWatchersAway(Access access) {
+  void changeIsKnownInTimeWhenTheStoreRejectsTheWatchers(Access access) {
     FollowedFleet fleet = settled(6, NODES, 0);
-    List<Follower> away = fleet.firstWatchers(NODES / 3);
-    away.forEach(follower -> follower.access = access);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
+    List<Follower> rejected = fleet.firstWatchers(NODES / 3);
+    rejected.forEach(follower -> follower.access = access);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
     fleet.run(SETTLED_MILLIS);
     int calls = fleet.callsWhile(() -> fleet.run(9_000));
     assertThat(calls).isLessThan(NODES);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(1_500);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(1_500);
   }
 
   @Test
-  void storeThatIsDownIsCalledSeldomAndHeardOfSoonAfterwards() {
+  void failedStoreIsCalledSeldomAndFollowedSoonAfterRecovery() {
     FollowedFleet fleet = settled(7, NODES, 0);
     fleet.followers.values().forEach(follower -> follower.access = Access.REFUSED);
     assertThat(fleet.callsWhile(() -> fleet.run(8_000))).isLessThan(4 * NODES);
     fleet.followers.values().forEach(follower -> follower.access = Access.SERVED);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(1_500);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(1_500);
   }
 
-  /** A confirmation from the future would else keep all from the store for as long. */
+  /**
+   * A confirmation from the future must not keep all nodes from calling the store until that time.
+   */
   @Test
-  void relayThatConfirmsFalselyIsBelievedForTheTrustedTimeOnly() {
+  void falseConfirmationCountsForTheTrustedTimeOnly() {
     FollowedFleet fleet = settled(8, NODES, 0);
-    Follower liar = fleet.firstWatchers(1).get(0);
-    liar.access = Access.SILENT;
-    liar.node.overlay.tables().onConfirmed(FollowedFleet.TABLE, 1L << 40);
+    Follower faulty = fleet.firstWatchers(1).get(0);
+    faulty.access = Access.SILENT;
+    faulty.node.overlay.tables().onConfirmed(FollowedFleet.TABLE, 1L << 40);
     fleet.run(500);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
   }
 
   @Test
-  void relayThatTellsOfAChangeThatIsNotThereCostsOneLookANode() {
+  void reportOfMissingChangeCostsOneCallPerNode() {
     FollowedFleet fleet = settled(9, NODES, 0);
     fleet.firstWatchers(1).get(0).node.overlay.tables().onSeen(FollowedFleet.TABLE, 999);
     assertThat(fleet.callsWhile(() -> fleet.run(3_000))).isLessThan(NODES * 3 / 2);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
   }
 
   @Test
-  void nodeThatHearsNobodyFollowsTheStore() {
+  void nodeThatHearsNoOtherFollowsTheStore() {
     FollowedFleet fleet = settled(10, NODES, 0);
     Follower cutOff = fleet.followers.values().iterator().next();
     fleet.fleet.deafen(cutOff.node);
     fleet.run(SETTLED_MILLIS);
-    assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(500);
+    assertThat(fleet.millisUntilChangeIsKnown(BOUND_MILLIS)).isLessThan(500);
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/RelayOverlayTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/RelayOverlayTest.java
@@ -15,22 +15,23 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What nodes know of each other, in fleets of 1 to 338 nodes whose nodes are killed and cut off.
+ * Guards against nodes that lose sight of each other or count the load of a node twice, in fleets
+ * of 1 to 338 nodes in which nodes are killed and cut off and messages get lost.
  */
 class RelayOverlayTest {
 
   private static final int STRONG = 8_000;
   private static final int WEAK = 800;
 
-  /** Within which every node knows what all others have. */
+  /** The time within which every node knows the load of all others. */
   private static final int SETTLED_MILLIS = 3_000;
 
-  /** Nodes that report to one relay of twelve among 95 equal nodes, at the most. */
-  private static final int MEMBERS_A_RELAY = 12;
+  /** The most members of one relay, with twelve relays among 95 equal nodes. */
+  private static final int MEMBERS_PER_RELAY = 12;
 
   /**
-   * For so long those that reported to a lost relay may count twice; later those of a relay whose
-   * place another takes.
+   * The time during which the members of a lost relay may count twice. Later, the members of a
+   * relay that another one replaces may.
    */
   private static final int COUNTED_TWICE_MILLIS = 1_500;
 
@@ -43,33 +44,33 @@
     return fleet;
   }
 
-  private static void assertAllKnowAll(SimulatedFleet fleet, int others) {
+  private static void assertEachNodeCountsAllOthers(SimulatedFleet fleet, int others) {
     for (Node node : fleet.nodes()) {
-      assertThat(fleet.believed(node)).as(node.info.toString()).isEqualTo(others);
+      assertThat(fleet.estimatedRequests(node)).as(node.info.toString()).isEqualTo(others);
       assertThat(node.loads.nodeCount(fleet.nowNanos())).isEqualTo(others + 1);
     }
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 8, 13, 30, 66, 95, 338})
-  void everyNodeKnowsWhatAllOthersHaveAndNothingTwice(int nodes) {
+  void everyNodeCountsLoadOfAllOthersOnce(int nodes) {
     SimulatedFleet fleet = fleet(nodes, nodes, 6);
     fleet.run(SETTLED_MILLIS);
-    assertAllKnowAll(fleet, nodes - 1);
+    assertEachNodeCountsAllOthers(fleet, nodes - 1);
     fleet.run(1_000);
-    assertAllKnowAll(fleet, nodes - 1);
+    assertEachNodeCountsAllOthers(fleet, nodes - 1);
   }
 
   @Test
-  void messagesANodeHardlyDependOnTheNumberOfNodes() {
-    double few = mostMessagesASecond(8);
-    double many = mostMessagesASecond(95);
+  void messagesPerNodeHardlyDependOnTheNumberOfNodes() {
+    double few = maxMessagesPerSecond(8);
+    double many = maxMessagesPerSecond(95);
     assertThat(few).isBetween(60.0, 80.0);
     assertThat(many).isLessThanOrEqualTo(4 * few);
-    assertThat(meanMessagesASecond(95)).isLessThanOrEqualTo(few);
+    assertThat(meanMessagesPerSecond(95)).isLessThanOrEqualTo(few);
   }
 
-  private static double mostMessagesASecond(int nodes) {
+  private static double maxMessagesPerSecond(int nodes) {
     SimulatedFleet fleet = measured(nodes);
     return fleet.nodes().stream()
             .mapToInt(node -> Math.max(node.sent, node.received))
@@ -78,7 +79,7 @@
         / 2.0;
   }
 
-  private static double meanMessagesASecond(int nodes) {
+  private static double meanMessagesPerSecond(int nodes) {
     SimulatedFleet fleet = measured(nodes);
     return fleet.nodes().stream().mapToInt(node -> node.sent).average().getAsDouble() / 2.0;
   }
@@ -96,7 +97,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {8, 95})
-  void placedPromptIsKnownWithinAHundredMillisInTheMedian(int nodes) {
+  void placedPromptIsKnownWithin100MillisInTheMedian(int nodes) {
     SimulatedFleet fleet = fleet(4, nodes, 6);
     fleet.run(SETTLED_MILLIS);
     Random random = new Random(5);
@@ -108,8 +109,8 @@
       long placed = fleet.millis();
       fleet.run(300 + 5 * random.nextInt(20));
       for (Node node : all) {
-        assertThat(node.heardOfPrompt).as("told to all").containsKey(part);
-        delays.add(node.heardOfPrompt.get(part) - placed);
+        assertThat(node.promptHeardAtMillis).as("told to all").containsKey(part);
+        delays.add(node.promptHeardAtMillis.get(part) - placed);
       }
     }
     delays.sort(null);
@@ -139,57 +140,59 @@
       assertThat(alive.stream().filter(node -> node.overlay.isRelay()).count())
           .as("relays after %d ms", passed)
           .isBetween(9L, 20L);
-      int most = 95 + MEMBERS_A_RELAY * (passed < COUNTED_TWICE_MILLIS ? 3 : 2);
+      int most = 95 + MEMBERS_PER_RELAY * (passed < COUNTED_TWICE_MILLIS ? 3 : 2);
       for (Node node : alive) {
-        assertThat(fleet.believed(node)).as("after %d ms", passed).isLessThanOrEqualTo(most);
+        assertThat(fleet.estimatedRequests(node))
+            .as("after %d ms", passed)
+            .isLessThanOrEqualTo(most);
       }
     }
     for (Node node : fleet.nodes()) {
       if (!killed.contains(node)) {
-        assertThat(fleet.believed(node)).isEqualTo(91);
+        assertThat(fleet.estimatedRequests(node)).isEqualTo(91);
       }
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5})
-  void nodesThatAreKilledAreLeftAndForgotten(long seed) {
+  void killedRelayIsReplacedAndForgotten(long seed) {
     SimulatedFleet fleet = fleet(seed, 40, 3);
     fleet.run(SETTLED_MILLIS);
     List<Node> relays = fleet.nodes().stream().filter(node -> node.overlay.isRelay()).toList();
     Node victim = relays.get((int) (seed % relays.size()));
     fleet.kill(victim);
-    int withoutView = 0;
+    int millisWithoutView = 0;
     for (int passed = 0; passed < 2_000; passed += 50) {
       fleet.run(50);
       for (Node node : fleet.nodes()) {
-        if (node != victim && fleet.believed(node) < 20) {
-          withoutView += 50;
+        if (node != victim && fleet.estimatedRequests(node) < 20) {
+          millisWithoutView += 50;
         }
       }
     }
-    assertThat(withoutView / fleet.nodes().size()).as("ms blind, a node").isLessThan(500);
+    assertThat(millisWithoutView / fleet.nodes().size()).as("ms blind, a node").isLessThan(500);
     fleet.run(SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
       if (node != victim) {
-        assertThat(fleet.believed(node)).isEqualTo(38);
+        assertThat(fleet.estimatedRequests(node)).isEqualTo(38);
       }
     }
   }
 
   @Test
-  void allThatAreKilledAtOnceKnowEachOtherAgainWithinASecond() {
+  void nodesRestartedTogetherKnowEachOtherWithinASecond() {
     SimulatedFleet fleet = fleet(6, 95, 6);
     fleet.run(SETTLED_MILLIS);
     List.copyOf(fleet.nodes()).forEach(fleet::restart);
     fleet.run(1_000);
     for (Node node : fleet.nodes()) {
-      assertThat(fleet.believed(node)).isEqualTo(94);
+      assertThat(fleet.estimatedRequests(node)).isEqualTo(94);
     }
   }
 
   @Test
-  void relayThatHearsNothingIsLeft() {
+  void relayThatHearsNothingIsReplaced() {
     SimulatedFleet fleet = fleet(7, 60, 3);
     fleet.run(SETTLED_MILLIS);
     Node relay =
@@ -198,14 +201,14 @@
     fleet.run(SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
       if (node != relay) {
-        assertThat(fleet.believed(node)).isBetween(58, 59);
+        assertThat(fleet.estimatedRequests(node)).isBetween(58, 59);
       }
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void lostMessagesCostNoKnowledgeForLong(long seed) {
+  void lostMessagesDistortLoadOnlyBriefly(long seed) {
     SimulatedFleet fleet = fleet(seed, 95, 6);
     fleet.setLoss(0.05);
     fleet.run(SETTLED_MILLIS);
@@ -213,8 +216,8 @@
     for (int passed = 0; passed < 5_000; passed += 100) {
       fleet.run(100);
       for (Node node : fleet.nodes()) {
-        int believed = fleet.believed(node);
-        wrong += believed < 85 || believed > 104 ? 1 : 0;
+        int estimatedRequests = fleet.estimatedRequests(node);
+        wrong += estimatedRequests < 85 || estimatedRequests > 104 ? 1 : 0;
       }
     }
     assertThat(wrong / (50.0 * 95)).as("part of the time far from the truth").isLessThan(0.02);
@@ -235,21 +238,21 @@
     fleet.run(2 * SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
       if (!strong.contains(node)) {
-        assertThat(fleet.believed(node)).isEqualTo(95 - strong.size() - 1);
+        assertThat(fleet.estimatedRequests(node)).isEqualTo(95 - strong.size() - 1);
       }
     }
   }
 
   @Test
-  void countOfNodesIsEmptyBeforeAnyIsHeardAndDoesNotGrowWhenRelaysChange() {
+  void nodeCountIsEmptyBeforeAnyNodeIsHeardAndDoesNotGrowWhenRelaysChange() {
     SimulatedFleet fleet = fleet(9, 40, 3);
     Node first = fleet.nodes().iterator().next();
     assertThat(first.overlay.conservativeNodeCount(fleet.nowNanos())).isEmpty();
-    countWhileRunning(fleet, SETTLED_MILLIS);
+    runAndCountNodes(fleet, SETTLED_MILLIS);
     Node relay =
         fleet.nodes().stream().filter(node -> node.overlay.isRelay()).findFirst().orElseThrow();
     fleet.kill(relay);
-    countWhileRunning(fleet, 3 * SETTLED_MILLIS);
+    runAndCountNodes(fleet, 3 * SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
       if (node != relay) {
         assertThat(node.overlay.conservativeNodeCount(fleet.nowNanos()).orElseThrow())
@@ -258,7 +261,7 @@
     }
   }
 
-  private static void countWhileRunning(SimulatedFleet fleet, int forMillis) {
+  private static void runAndCountNodes(SimulatedFleet fleet, int forMillis) {
     for (int passed = 0; passed < forMillis; passed += 100) {
       fleet.run(100);
       fleet.nodes().forEach(node -> node.overlay.conservativeNodeCount(fleet.nowNanos()));
@@ -266,25 +269,26 @@
   }
 
   @Test
-  void listingOfOneEngineIsToldToAllAndOneNodeAsks() {
+  void oneNodePollsAnEngineAndItsListingReachesAllNodes() {
     SimulatedFleet fleet = fleet(10, 95, 6);
     fleet.run(SETTLED_MILLIS);
-    List<Node> asking =
+    List<Node> polling =
         fleet.nodes().stream()
             .filter(node -> node.overlay.pollsEngine(SimulatedFleet.ENGINE, fleet.nowNanos()))
             .toList();
-    assertThat(asking).hasSize(1);
+    assertThat(polling).hasSize(1);
     CacheListing listing =
         CacheListing.of(SimulatedFleet.ENGINE, 0, List.of(new PromptPart("aa", 9_000)));
-    asking.get(0).overlay.addListing(listing, fleet.nowNanos());
+    polling.get(0).overlay.addListing(listing, fleet.nowNanos());
     fleet.run(500);
     for (Node node : fleet.nodes()) {
-      assertThat(node.listed.contains(SimulatedFleet.ENGINE) || node == asking.get(0)).isTrue();
+      assertThat(node.listedEngines.contains(SimulatedFleet.ENGINE) || node == polling.get(0))
+          .isTrue();
     }
   }
 
   @Test
-  void nodeThatKnowsNothingAsksOneOtherForAllListings() {
+  void restartedNodeAsksOneOtherForAllListings() {
     SimulatedFleet fleet = fleet(11, 30, 3);
     fleet.run(SETTLED_MILLIS);
     Node started = fleet.restart(fleet.nodes().iterator().next());
@@ -300,7 +304,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {3, 8, 95})
-  void threeRelaysComeFirstInTheOrderOfWatchersAndOthersTakeTheirPlace(int nodes) {
+  void threeRelaysRankFirstAsWatchersAndOthersReplaceThem(int nodes) {
     SimulatedFleet fleet = new SimulatedFleet(12);
     for (int number = 0; number < nodes; number++) {
       fleet.add(number, "zone-" + number % 3, STRONG);
@@ -317,14 +321,14 @@
   }
 
   @Test
-  void nodeWithoutOthersWatchesFirst() {
+  void singleNodeRanksFirstAsWatcher() {
     SimulatedFleet fleet = fleet(12, 1, 1);
     fleet.run(SETTLED_MILLIS);
     assertThat(fleet.nodes().iterator().next().overlay.watchOrder())
         .isEqualTo(WatchOrder.ofOne(false));
   }
 
-  /** Nodes of one zone ask there for rows, since what passes between zones has its price. */
+  /** Nodes must ask in their own zone for rows, since traffic between zones has a price. */
   @Test
   void nodesAskTheirRelayForRowsFirst() {
     SimulatedFleet fleet = fleet(14, 95, 6);
@@ -343,7 +347,7 @@
   }
 
   @Test
-  void confirmationThatIsRepeatedCountsOnce() {
+  void repeatedConfirmationCountsOnce() {
     SimulatedFleet fleet = fleet(15, 95, 6);
     fleet.run(SETTLED_MILLIS);
     Node first = fleet.nodes().iterator().next();
@@ -361,7 +365,7 @@
   }
 
   @Test
-  void changeThatOneNodeSawIsKnownToAll() {
+  void changeSeenByOneNodeIsKnownToAll() {
     SimulatedFleet fleet = fleet(13, 95, 6);
     fleet.run(SETTLED_MILLIS);
     fleet.nodes().iterator().next().overlay.tables().onSeen("engines", 57);
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/RelayRankingTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/RelayRankingTest.java
@@ -7,6 +7,10 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against sorting the relays anew at each call, and against nodes that differ but compare as
+ * equal.
+ */
 class RelayRankingTest {
 
   private static PeerInfo peer(int number) {
@@ -14,7 +18,7 @@
   }
 
   @Test
-  void sortsItsRelaysOnceForEachPurpose() {
+  void relaysAreSortedOncePerPurpose() {
     List<PeerInfo> others = IntStream.rangeClosed(2, 71).mapToObj(RelayRankingTest::peer).toList();
     RelayRanking ranking = new RelayRanking(peer(1), others, 71);
     assertThat(ranking.relaysFor("watch"))
@@ -24,7 +28,7 @@
   }
 
   @Test
-  void nodesThatDifferInAnythingAreNotTheSame() {
+  void nodesThatDifferInAnyComponentAreNotEqual() {
     PeerInfo peer = peer(1);
     assertThat(peer)
         .isEqualTo(peer(1))
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/SimulatedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/SimulatedFleet.java
@@ -17,7 +17,7 @@
 import org.fallturn.core.dispatch.PromptPart;
 import org.fallturn.core.domain.NetworkAddress;
 
-/** Nodes that tell each other of their load over a simulated network, in steps of 5 ms. */
+/** Nodes that exchange their load over a simulated network, in steps of 5 ms. */
 final class SimulatedFleet {
 
   static final String ENGINE = "e-1";
@@ -28,22 +28,22 @@
   private final Random random;
   private final Map<NetworkAddress, Node> nodes = new HashMap<>();
   private final List<NetworkAddress> seeds = new ArrayList<>();
-  private final Set<NetworkAddress> down = new HashSet<>();
-  private final Set<NetworkAddress> deaf = new HashSet<>();
-  private final Deque<Sent> wire = new ArrayDeque<>();
+  private final Set<NetworkAddress> killed = new HashSet<>();
+  private final Set<NetworkAddress> deafNodes = new HashSet<>();
+  private final Deque<InFlight> network = new ArrayDeque<>();
   private double loss;
   private long millis = 1_000;
 
-  /** A message on its way. */
-  private record Sent(long arrivesAtMillis, OutgoingPeerMessage outgoing) {}
+  /** A message in flight. */
+  private record InFlight(long arrivesAtMillis, OutgoingPeerMessage outgoing) {}
 
   /** One node, which has one request at the engine. */
   static final class Node {
     final PeerInfo info;
     final PeerLoads loads = new PeerLoads();
     final RelayOverlay overlay;
-    final Map<String, Long> heardOfPrompt = new HashMap<>();
-    final Set<String> listed = new HashSet<>();
+    final Map<String, Long> promptHeardAtMillis = new HashMap<>();
+    final Set<String> listedEngines = new HashSet<>();
     int running = 1;
     int sent;
     int received;
@@ -85,12 +85,12 @@
     return node;
   }
 
-  /** The process ends, and another begins in its place that knows nothing. */
+  /** Ends the process of a node and starts another one in its place, which knows nothing. */
   Node restart(Node node) {
-    Node begun = new Node(node.info, 2, seeds, nowNanos());
-    nodes.put(node.info.address(), begun);
-    down.remove(node.info.address());
-    return begun;
+    Node restarted = new Node(node.info, 2, seeds, nowNanos());
+    nodes.put(node.info.address(), restarted);
+    killed.remove(node.info.address());
+    return restarted;
   }
 
   Collection<Node> nodes() {
@@ -98,25 +98,25 @@
   }
 
   void kill(Node node) {
-    down.add(node.info.address());
+    killed.add(node.info.address());
   }
 
-  /** It sends, but hears nothing. */
+  /** Stops a node from receiving. It still sends. */
   void deafen(Node node) {
-    deaf.add(node.info.address());
+    deafNodes.add(node.info.address());
   }
 
   void setLoss(double part) {
     loss = part;
   }
 
-  /** The requests that a node believes the others to have at the engine. */
-  int believed(Node node) {
+  /** The requests that, by a node's estimate, the other nodes have at the engine. */
+  int estimatedRequests(Node node) {
     return node.loads.running(ENGINE, nowNanos());
   }
 
   void place(Node node, String partId) {
-    node.heardOfPrompt.put(partId, millis);
+    node.promptHeardAtMillis.put(partId, millis);
     node.overlay.addPrompts(
         List.of(new PlacedPrompt(ENGINE, 10, List.of(new PromptPart(partId, 5_000)))));
   }
@@ -130,7 +130,7 @@
       millis += STEP_MILLIS;
       deliver();
       for (Node node : List.copyOf(nodes.values())) {
-        if (!down.contains(node.info.address())) {
+        if (!killed.contains(node.info.address())) {
           List<OutgoingPeerMessage> messages = node.overlay.due(node::own, nowNanos());
           node.sent += messages.size();
           messages.forEach(this::send);
@@ -141,16 +141,18 @@
 
   private void send(OutgoingPeerMessage outgoing) {
     if (random.nextDouble() >= loss) {
-      wire.add(new Sent(millis + (long) DELAY_STEPS * STEP_MILLIS, outgoing));
+      network.add(new InFlight(millis + (long) DELAY_STEPS * STEP_MILLIS, outgoing));
     }
   }
 
   private void deliver() {
-    while (!wire.isEmpty() && wire.peekFirst().arrivesAtMillis <= millis) {
-      OutgoingPeerMessage outgoing = wire.removeFirst().outgoing;
+    while (!network.isEmpty() && network.peekFirst().arrivesAtMillis <= millis) {
+      OutgoingPeerMessage outgoing = network.removeFirst().outgoing;
       Node target = nodes.get(outgoing.target());
       boolean lost =
-          target == null || down.contains(outgoing.target()) || deaf.contains(outgoing.target());
+          target == null
+              || killed.contains(outgoing.target())
+              || deafNodes.contains(outgoing.target());
       if (!lost) {
         receive(target, outgoing.message());
       }
@@ -161,8 +163,8 @@
     node.received++;
     node.overlay.onMessage(message, nowNanos());
     for (PlacedPrompt prompt : message.load().prompts()) {
-      node.heardOfPrompt.putIfAbsent(prompt.parts().get(0).id(), millis);
+      node.promptHeardAtMillis.putIfAbsent(prompt.parts().get(0).id(), millis);
     }
-    message.listings().forEach(listing -> node.listed.add(listing.engineId()));
+    message.listings().forEach(listing -> node.listedEngines.add(listing.engineId()));
   }
 }
