--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
@@ -331,13 +331,13 @@
     for (int other = 0; other < nodes.size(); other++) {
       if (other != node && random.nextDouble() >= lossShare) {
         int target = other;
-        in(STEP_MILLIS * (1 + random.nextInt(8)), () -> hear(target, load, reports));
+        in(STEP_MILLIS * (1 + random.nextInt(8)), () -> receive(target, load, reports));
       }
     }
   }
 
-  private void hear(int node, LoadDigest load, List<CrashReport> reports) {
-    Requests.hear(nodes.get(node), load, now());
+  private void receive(int node, LoadDigest load, List<CrashReport> reports) {
+    Requests.receive(nodes.get(node), load, now());
     reports.forEach(report -> nodes.get(node).quarantine().onPeerReport(report, now()));
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
@@ -155,7 +155,7 @@
                 new LimitDigest(
                     new RateDigest(1, 16, 0, 3),
                     new AnnouncedLimitDigest(LIMIT, 20, AnnouncedLimitDigest.NEVER)));
-    Requests.hear(
+    Requests.receive(
         dispatcher,
         new LoadDigest("node-2", 1, 1, Map.of(limited.id(), told), List.of(), Map.of()),
         after(100));
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
@@ -60,7 +60,7 @@
   record UsageReported(long window) implements DispatchEvent {}
 
   /** How many engines a service had by zone before any was ordered. */
-  record BaselineKnown(String service, Map<String, Integer> byZone) implements DispatchEvent {}
+  record InitialCountsKnown(String service, Map<String, Integer> byZone) implements DispatchEvent {}
 
   /** An order for engines was answered, or not. */
   record ScaleOrderAnswered(ScaleOrder order, DutyOutcome outcome) implements DispatchEvent {}
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
 import org.fallturn.core.dispatch.AttemptOutcome;
-import org.fallturn.core.dispatch.AttemptPatience;
+import org.fallturn.core.dispatch.AttemptTimeout;
 import org.fallturn.node.json.MalformedMessageException;
 
 /**
@@ -44,7 +44,7 @@
   private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
   private volatile Request request;
   private volatile boolean maybeSent;
-  private final AttemptPatience patience;
+  private final AttemptTimeout timeout;
   private volatile EngineAnswerHead head;
   private volatile HttpFields headers;
   private volatile boolean streamed;
@@ -53,11 +53,11 @@
   private boolean told;
 
   EngineAttempt(
-      Exchange exchange, EngineCall call, EngineProtocol protocol, AttemptPatience patience) {
+      Exchange exchange, EngineCall call, EngineProtocol protocol, AttemptTimeout timeout) {
     this.exchange = exchange;
     this.call = call;
     this.protocol = protocol;
-    this.patience = patience;
+    this.timeout = timeout;
   }
 
   EngineCall call() {
@@ -92,8 +92,8 @@
   }
 
   /** How long it may go without a sign of an answer. */
-  AttemptPatience patience() {
-    return patience;
+  AttemptTimeout timeout() {
+    return timeout;
   }
 
   /** Whether any byte may have reached the engine. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -359,7 +359,7 @@
 
   /** Listed engines that take nothing new, by their entries or by what they have said. */
   public long leavingCount() {
-    EngineDirectory known = directory.withLeaving(notices::leaves);
+    EngineDirectory known = directory.withLeaving(notices::isLeaving);
     return known.all().stream().filter(ServingEngine::leaving).count();
   }
 
