--- a/fallturn-core/src/main/java/org/fallturn/core/limits/AnnouncedLimitDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/AnnouncedLimitDigest.java
@@ -1,7 +1,7 @@
 package org.fallturn.core.limits;
 
 /**
- * What nodes tell each other of the rate limit that an engine announced for itself. Immutable.
+ * What nodes report to each other of the rate limit that an engine announced for itself. Immutable.
  *
  * @param perSecond the limit in requests per second; without meaning when none is known
  * @param announcedAgoMillis time in ms since the engine last announced it to any of these nodes;
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
@@ -18,7 +18,8 @@
  * window, and reports what it still reserves. Other nodes take from the pool only what certainly no
  * node reserves and no node, including those that are not heard any more, was heard to have taken.
  * Each node takes its share of the pool once per round trip of digests. That share counts this
- * node's demand only after the others have been told of it, and the demand of others at once.
+ * node's demand only after the others have been reportedNodes of it, and the demand of others at
+ * once.
  *
  * <p>Nodes send nothing while no node wants a unit. The caller must make sure that one thread calls
  * at a time.
@@ -43,8 +44,8 @@
   private static final int ROUND_TRIP_TENTHS = 2 * SETTLING_TENTHS;
 
   /**
-   * Demand of others that lasts for so long, in tenths of a second, is no burst. Each round reports
-   * it.
+   * Demand of others that lasts for this time, in tenths of a second, is sustained and no burst.
+   * Each round reports it.
    */
   private static final int SUSTAINED_TENTHS = 15;
 
@@ -109,11 +110,11 @@
   /**
    * Sets what the other nodes report.
    *
-   * @param told sum of all digests that are still valid
+   * @param newOthers sum of all digests that are still valid
    * @param nodeCount number of nodes that may exist, including this one; empty while it is unknown
    */
-  public void setOthers(BudgetDigest told, OptionalInt nodeCount) {
-    others = told;
+  public void setOthers(BudgetDigest newOthers, OptionalInt nodeCount) {
+    others = newOthers;
     nodes = nodeCount;
   }
 
@@ -205,10 +206,11 @@
    * contribute twice.
    */
   private double contributionOfOthers() {
-    int told = others.nodes();
-    int most = nodes.getAsInt() - 1;
-    double deduplication = told > most ? (double) most / told : 1;
-    return deduplication * (perRequest * others.requests() + fixed * told / nodes.getAsInt());
+    int reportedNodes = others.nodes();
+    int maximum = nodes.getAsInt() - 1;
+    double deduplication = reportedNodes > maximum ? (double) maximum / reportedNodes : 1;
+    return deduplication
+        * (perRequest * others.requests() + fixed * reportedNodes / nodes.getAsInt());
   }
 
   /**
@@ -246,14 +248,13 @@
   }
 
   /**
-   * Units that others have taken within the window, including nodes that are not heard any more.
-   * Each remaining node counts an equal part of what the lost ones took.
+   * Units that others have taken within the window, including nodes that are not heard any more. Each remaining node bears an equal part of what the lost ones took.
    */
   private double usedByOtherNodes(long nowNanos) {
     int heard = others.nodes() + 1;
-    double most = usedByOthers.update(others.used(), nowNanos);
+    double maximum = usedByOthers.update(others.used(), nowNanos);
     double byEach = usedByEach.update((double) others.used() / heard, nowNanos);
-    return Math.max(others.used(), Math.min(most, byEach * heard));
+    return Math.max(others.used(), Math.min(maximum, byEach * heard));
   }
 
   private int wanted(int skippedTenths, long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedRate.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedRate.java
@@ -13,12 +13,12 @@
  * allows bursts after an idle time.
  *
  * <p>Invariant: the shares of all nodes add up to no more than the rate, whichever nodes hear each
- * other. A node counts its own demand only once the others have certainly been told of it, and the
- * demand of others at once. It takes no more than the fraction of the fleet that it hears applying
- * the limit, so that a node which hears no other gets an equal share. The whole fleet, whatever its
- * size, holds few permits that no request has used, since all of them may be used at the same
- * moment. The requests that all nodes are known to have sent within the window bound what a node
- * may send.
+ * other. A node counts its own demand only once the others have certainly been newOthers of it, and
+ * the demand of others at once. It takes no more than the fraction of the fleet that it hears
+ * applying the limit, so that a node which hears no other gets an equal share. The whole fleet,
+ * whatever its size, holds few permits that no request has used, since all of them may be used at
+ * the same moment. The requests that all nodes are known to have sent within the window bound what
+ * a node may send.
  *
  * <p>The caller must make sure that one thread calls at a time.
  */
@@ -106,11 +106,11 @@
   /**
    * Sets what the other nodes report.
    *
-   * @param told sum of all digests that are still valid
+   * @param newOthers sum of all digests that are still valid
    * @param nodeCount number of nodes that may exist, including this one; empty while it is unknown
    */
-  public void setOthers(RateDigest told, OptionalInt nodeCount) {
-    others = told;
+  public void setOthers(RateDigest newOthers, OptionalInt nodeCount) {
+    others = newOthers;
     nodes = nodeCount;
   }
 
@@ -209,8 +209,8 @@
     accruedNanos += passed;
     updateFilling(nowNanos);
     double rate = rate(nowNanos);
-    double most = (mayKeepSecondPermit(nowNanos) ? 2 : 1) + rate * BURST_SECONDS;
-    permits = Math.max(permits, Math.min(most, permits + rate * step / NANOS_PER_SECOND));
+    double maxPermits = (mayKeepSecondPermit(nowNanos) ? 2 : 1) + rate * BURST_SECONDS;
+    permits = Math.max(permits, Math.min(maxPermits, permits + rate * step / NANOS_PER_SECOND));
     dropExcessPermits(step, nowNanos);
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
@@ -80,8 +80,8 @@
   private final Map<RequestFingerprint, Suspect> suspects = new LinkedHashMap<>();
 
   /**
-   * Suspects that may change with time or are due to be reported. Most suspects have one known
-   * crash and are not in this set, so that ticks and messages do not visit them.
+   * Suspects that may change with time or are due to be reported. Most suspects have a single known
+   * crash and are not in this set, so that ticks and messages do not have to visit them.
    */
   private final Set<Suspect> active = new LinkedHashSet<>();
 
@@ -156,8 +156,7 @@
   }
 
   /**
-   * Handles that an engine is found to be gone. All contents that it seemed to crash under count as
-   * crashes.
+   * Handles that an engine is found to be gone. This counts as a crash for every content under which the engine seemed to crash.
    */
   public void onEngineGone(String engineId, long nowNanos) {
     for (Suspect suspect : suspects.values()) {
