--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
@@ -248,7 +248,8 @@
   }
 
   /**
-   * Units that others have taken within the window, including nodes that are not heard any more. Each remaining node bears an equal part of what the lost ones took.
+   * Units that others have taken within the window, including nodes that are not heard any more.
+   * Each remaining node bears an equal part of what the lost ones took.
    */
   private double usedByOtherNodes(long nowNanos) {
     int heard = others.nodes() + 1;
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
@@ -156,7 +156,8 @@
   }
 
   /**
-   * Handles that an engine is found to be gone. This counts as a crash for every content under which the engine seemed to crash.
+   * Handles that an engine is found to be gone. This counts as a crash for every content under
+   * which the engine seemed to crash.
    */
   public void onEngineGone(String engineId, long nowNanos) {
     for (Suspect suspect : suspects.values()) {
