--- a/fallturn-core/src/main/java/org/fallturn/core/orders/VersionRollout.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/orders/VersionRollout.java
@@ -15,6 +15,7 @@
  */
 public final class VersionRollout {
 
+  /** One engine out of this number may be unavailable at a time, and always at least one. */
   private static final int ENGINES_PER_LOAD = 8;
 
   private final Map<EngineId, EngineState> states = new HashMap<>();
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/BaselinePace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/BaselinePace.java
@@ -1,9 +1,9 @@
 package org.fallturn.core.pace;
 
 /**
- * Running mean of the time that one kind of work takes at all engines of a service, relative to the
- * expected time. Errors of the expectation that are the same at all engines cancel out here and say
- * nothing about a single engine.
+ * Running mean of the logarithm of the time that the same work takes at all engines of a service,
+ * relative to the expected time. Errors of the expectation that are the same at all engines cancel
+ * out here and say nothing about a single engine.
  *
  * <p>One thread calls.
  */
@@ -13,8 +13,8 @@
   private static final int ENOUGH_SAMPLES = 4;
 
   /**
-   * Caps the sample count so that the mean follows changes of load: every later sample counts as
-   * one of so many.
+   * Maximum sample count of the mean. From then on each sample has a weight of one in this number,
+   * so that the mean follows changes of load.
    */
   private static final int MEMORY_SAMPLES = 64;
 
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/EnginePace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/EnginePace.java
@@ -4,7 +4,7 @@
  * Tells how long work currently takes at an engine compared with what is usual for its service.
  *
  * <p>An engine without samples has the factor 1: callers must then decide as they would without
- * pace. One thread calls.
+ * pace estimates. One thread calls.
  */
 @FunctionalInterface
 public interface EnginePace {
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/LongTermPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/LongTermPace.java
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Returns the share of the samples that is retained: all of it at first, less after a long idle
-   * time.
+   * Returns the share of the samples that is retained: all of it for as long as {@link
+   * #MEMORY_SAMPLES} samples take to arrive, then exponentially less.
    */
   private double retained(long nowNanos) {
     double retentionNanos = meanIntervalNanos * MEMORY_SAMPLES;
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceBounds.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceBounds.java
@@ -6,7 +6,10 @@
  */
 final class PaceBounds {
 
-  /** Upper bound for the factor. An engine that is slower than this is avoided all the same. */
+  /**
+   * Logarithm of the largest factor; the smallest is its inverse. An engine that is slower is
+   * avoided all the same.
+   */
   private static final double MAX_LOG = Math.log(4);
 
   /** Factors closer to 1 than this count as 1. */
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceEstimator.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceEstimator.java
@@ -109,7 +109,7 @@
 
   /**
    * Adds the samples that other nodes have reported since the last call and compares the engines
-   * with each other. The caller calls it several times a second.
+   * with each other. Called several times a second.
    *
    * @param kindsByEngine the kind of work that peers report for each engine
    * @param nowNanos current time of the steady clock
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/ReportedPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ReportedPace.java
@@ -5,10 +5,10 @@
 /**
  * Pace that one engine reports about itself, with the trust that this node puts in it.
  *
- * <p>Trust starts at 1. It falls each time the work took a time far from the report, or one that
- * was much closer to this node's own estimate, and recovers with each report that was right. A
- * report stays fresh for as long as the engine usually takes to send the next one. One thread
- * calls.
+ * <p>Trust starts at 1. It falls each time work takes much longer or shorter than reported, or this
+ * node's own estimate proves clearly closer than the report, and recovers with each report that was
+ * right. A report stays fresh for as long as the engine usually takes to send the next one. One
+ * thread calls.
  */
 final class ReportedPace {
 
@@ -63,7 +63,7 @@
    * Updates the trust with the outcome of work.
    *
    * @param reportedLog pace reported when the work was sent
-   * @param estimate this node's estimate at that time
+   * @param estimate this node's long-term estimate before this outcome is added
    * @param observed pace that was observed
    */
   void onOutcome(double reportedLog, double estimate, double observed) {
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/ShrinkagePrior.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ShrinkagePrior.java
@@ -18,7 +18,10 @@
   private static final double MIN_PRIOR_SAMPLES = 2;
   private static final double MAX_PRIOR_SAMPLES = 4_096;
 
-  /** Engines with fewer samples are left out of the comparison. */
+  /**
+   * Engines with fewer samples are left out of the comparison, since they do not show how the
+   * engines differ.
+   */
   private static final double MIN_SAMPLES = 8;
 
   private static final int MIN_ENGINES = 3;
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/ScalePlanner.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/ScalePlanner.java
@@ -32,8 +32,8 @@
 
   /**
    * Time without changes after which the list of engines counts as complete. At startup, engines
-   * appear less than a second apart: changes 0.76 s apart were seen in a list that grew for about 5
-   * s.
+   * appear less than a second apart: in a list that grew for about 5 s, changes 0.76 s apart were
+   * seen.
    */
   private static final long STABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
@@ -72,7 +72,7 @@
     initialCounts = new TreeMap<>(byZone);
   }
 
-  /** Returns the next action, if any; the result stays the same until the action is answered. */
+  /** Returns the next action, if any. It is offered again until it has been answered. */
   public Optional<ScaleAction> wanted(
       ScalingTerms terms, Collection<ServingEngine> listed, long nowNanos) {
     if (!parameters.enabled() || terms.loanPrice().isEmpty()) {
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLease.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/OrderLease.java
@@ -53,7 +53,8 @@
 
   /**
    * Takes the lease unless another node holds it or held it within the quiet time. If this node
-   * holds it and at least half of the term remains, it keeps the lease, which saves two calls.
+   * holds it and at least half of the term remains, it keeps the lease, which saves two calls to
+   * the store.
    *
    * @return whether this node may give orders now
    * @throws StoreException when the store gave no usable answer; the lease is not held
@@ -101,7 +102,10 @@
     return token;
   }
 
-  /** Gives up the lease on this node; no further order is given under it. */
+  /**
+   * Ends the lease for this node: no further order is given under it. The row in the store is left
+   * as it is.
+   */
   public synchronized void drop() {
     token = 0;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/stages/StagePlanner.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/stages/StagePlanner.java
@@ -18,13 +18,13 @@
  *
  * <p>Invariants: no change reduces a stage below its minimum share of the engines, or below one
  * engine; a stage that has fallen below its minimum because engines left is filled up first; only a
- * limited part of the engines changes at the same time, a larger one while nothing runs; a change
- * made because of load is not reversed within {@link #REVERSAL_NANOS}. Load is smoothed, so that
- * one long prompt causes no change. One thread calls, about every 100 ms.
+ * limited part of the engines changes at the same time, a larger one while nothing runs; no change
+ * because of load reverses the previous change within {@link #REVERSAL_NANOS}. Load is smoothed, so
+ * that one long prompt causes no change. One thread calls, about every 100 ms.
  */
 public final class StagePlanner {
 
-  /** Mean wait of prompts above which prefill engines are too few. */
+  /** Mean wait of prompts above which the engines of their stage are too few. */
   private static final double LONG_WAIT_MILLIS = 60;
 
   /** Mean wait of prompts below which there are prefill engines to spare. */
@@ -46,7 +46,8 @@
 
   /**
    * Minimum time between two changes, so that the effect of the first becomes visible. When several
-   * engines may change at the same time, that many changes may start within this time.
+   * engines may change at the same time, it is divided by their number, so that as many changes may
+   * start within this time.
    */
   private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_200);
 
@@ -66,9 +67,9 @@
   private static final int ENGINES_PER_CHANGE_WHEN_IDLE = 4;
 
   /**
-   * Share of the engines in each stage before any load has been seen. Engines with empty caches
-   * read every prompt as a whole, so that the first callers need more prefill engines than later
-   * ones.
+   * Minimum share of the engines in each stage before any load has been seen. Engines with empty
+   * caches read every prompt as a whole, so that the first callers need more prefill engines than
+   * later ones.
    */
   private static final double SHARE_BEFORE_LOAD = 0.5;
 
@@ -130,7 +131,8 @@
   }
 
   /**
-   * Returns the next change to order, if any; the result stays the same until {@link #onOrdered}.
+   * Returns the next change to order, if any. It is offered again until {@link #onOrdered} is
+   * called.
    */
   public Optional<StageChange> wanted(List<StageView> engines, long nowNanos) {
     int changing = (int) engines.stream().filter(StagePlanner::isChanging).count();
@@ -199,8 +201,8 @@
   }
 
   /**
-   * Returns the stage that is below its minimum. This can happen without any order, since engines
-   * crash and leave.
+   * Returns the stage that is below its minimum while the other has engines to spare. This can
+   * happen without any order, since engines crash and leave.
    */
   private static Optional<EngineStage> belowMinimum(int prefill, int decode, int minimum) {
     if (decode < minimum && prefill > minimum) {
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/CapacityShare.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/CapacityShare.java
@@ -4,10 +4,10 @@
  * This node's share of the free capacity of a service's engines.
  *
  * <p>All nodes learn of free capacity at the same time. If each sent everything that waits with it,
- * together they would overfill the engines by as much again. While much capacity is free, no node
- * holds back. Otherwise each node is granted its part of the free capacity once per update of the
- * load reports. The grants add up to several times the free capacity, since most nodes have no
- * waiting requests. One thread calls.
+ * together they would send about twice as much as the engines have capacity for. While much
+ * capacity is free, no node holds back. Otherwise each node is granted its part of the free
+ * capacity once per update of the load reports. The grants add up to several times the free
+ * capacity, since most nodes have no waiting requests. One thread calls.
  */
 public final class CapacityShare {
 
@@ -28,8 +28,8 @@
   /**
    * Takes capacity for one request if this node may use it.
    *
-   * <p>A fraction of a permit is a chance of a whole one. If nodes with nothing to send saved up
-   * whole permits instead, all of these would be used at once.
+   * <p>A fraction of a permit is the probability of a whole one. If nodes with nothing to send
+   * saved up whole permits instead, all of these would be used at once.
    *
    * @param freeCapacity number of requests that the engines can still take, as far as known
    * @param totalCapacity number of requests that they can take when they have none
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/ResponseTimes.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/ResponseTimes.java
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Returns how many requests all nodes together send to engines within a period, by Little's law.
+   * Returns how many requests nodes send to the engines within a period, by Little's law.
    *
    * @param service service of the requests
-   * @param present number of requests at the engines now
+   * @param present number of requests that these nodes have at the engines now
    * @param millis length of the period in ms
    */
   public double arrivalsWithin(String service, int present, double millis) {
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
@@ -14,8 +14,8 @@
 public final class SaturationLimits {
 
   /**
-   * Share of the requests counted at a rejection that becomes the limit, since the count of other
-   * nodes' requests is outdated.
+   * Ratio of the limit to the number of requests counted at a rejection. It is below 1 since the
+   * count of other nodes' requests is outdated.
    */
   private static final double SAFETY_FACTOR = 0.9;
 
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingParameters.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingParameters.java
@@ -12,8 +12,8 @@
  * @param refuseForeseen whether prompts are refused at once when they are predicted to start after
  *     their caller has left
  * @param cacheRoom whether free space in the engines' KV caches is taken into account
- * @param lateYields whether prompts that cannot meet their deadline go behind prompts of lower
- *     ranks that can, while these have time to spare
+ * @param lateYields whether prompts that cannot meet their target time go behind prompts of lower
+ *     ranks that can, if they are still predicted to start well before their own caller leaves
  * @param maxWaitingBytes memory in bytes for the bodies of waiting requests
  */
 public record WaitingParameters(
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingRequests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingRequests.java
@@ -14,9 +14,9 @@
  * <p>It serves loads beyond the capacity of the engines. A request sent to a full engine is
  * rejected, or it is late behind others that could have waited, and it cannot be recalled. Requests
  * are ordered by rank, then by whether they can still meet their target time, then by whether the
- * caller has retried, then by deadline. One that cannot meet its target time goes later, since
- * ahead of others it would only make these late too. Waiting requests hold their bodies in memory;
- * beyond a bound, the last of the least urgent are handed back to be refused. One thread calls.
+ * caller retries, then by deadline. One that cannot meet its target time goes later, since ahead of
+ * others it would only make these late too. Waiting requests hold their bodies in memory; beyond a
+ * bound, the last of the least urgent are handed back to be refused. One thread calls.
  *
  * @param <R> type of a request
  */
@@ -28,7 +28,7 @@
    * @param request the request
    * @param service service that it is for
    * @param priority position of its rank; 0 goes first
-   * @param retried whether its caller retries after an earlier refusal
+   * @param retried whether its caller has spent part of its time before, as after a refusal
    * @param targetNanos steady clock time up to which its answer has its full value
    * @param answerByNanos steady clock time until which its caller waits
    * @param sinceNanos steady clock time at which it began to wait
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/WaterFilling.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaterFilling.java
@@ -28,7 +28,7 @@
   public record EngineFill(double level, double capacity) {}
 
   /**
-   * Smallest amount that is distributed. It makes the emptiest engine the choice, at random among
+   * Smallest amount that is distributed. With it the emptiest engine is chosen, at random among
    * equal ones.
    */
   private static final double MIN_AMOUNT = 1e-3;
--- a/fallturn-core/src/test/java/org/fallturn/core/stages/StagePlannerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/stages/StagePlannerTest.java
@@ -13,8 +13,8 @@
 
 /**
  * Tests when an engine changes between prefill and decode: too few prefill engines make prompts
- * wait, too few decode engines slow down streams, and each change takes an engine out of service
- * for seconds.
+ * wait, too few decode engines slow down streams, and an engine serves no requests while it
+ * changes.
  */
 class StagePlannerTest {
 
