--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
@@ -32,8 +32,8 @@
   private static final double SHORT_WORK_FRACTION = 0.5;
 
   /**
-   * The forecast may be too long by this factor, since it assumes that all nodes have as many
-   * waiting requests as this one, and few have.
+   * The forecast may be too long by this factor: it assumes that every node has as many waiting
+   * requests as this one, although few nodes have any.
    */
   private static final double FORECAST_MARGIN = 4;
 
@@ -193,7 +193,10 @@
     return expired;
   }
 
-  /** Removes and returns the next request of a service if an engine has room for it. */
+  /**
+   * Removes and returns the next request of a service if an engine has room for it, or if there is
+   * no engine left that could run it.
+   */
   Optional<RequestProgress> takeNext(String service, long nowNanos) {
     List<Waiting<RequestProgress>> order = waiting.inOrder(service, workNanos(service), nowNanos);
     if (order.isEmpty()) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptOutcome.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptOutcome.java
@@ -1,6 +1,6 @@
 package org.fallturn.core.dispatch;
 
-/** How an attempt at one engine ended that brought no complete, successful answer. */
+/** How an attempt at one engine ended without a complete, successful answer. */
 public enum AttemptOutcome {
   /** No byte of the request reached the engine. */
   NOT_SENT(false),
@@ -22,8 +22,8 @@
   /** This node gave the attempt up for a reason that says nothing about the engine. */
   WITHDRAWN(true),
   /**
-   * No part of an answer came before the caller's deadline cut the timeout short; the engine may be
-   * healthy.
+   * No part of an answer came within a timeout that the caller's deadline had cut short; the engine
+   * may be healthy.
    */
   OUT_OF_TIME(true),
   /** The answer broke off after part of it had been passed on to the caller. */
@@ -45,7 +45,7 @@
     return mayHaveRun;
   }
 
-  /** Whether a crash of the engine may have caused this outcome; other faults look the same. */
+  /** Whether a crash of the engine may have caused this outcome; other faults may look the same. */
   public boolean mayBeCrash() {
     return this == LOST || this == BROKEN_MIDWAY;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeoutPolicy.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeoutPolicy.java
@@ -10,7 +10,10 @@
  */
 final class AttemptTimeoutPolicy {
 
-  /** Part of a run's timeout that does not depend on the load, in target latencies of its route. */
+  /**
+   * Part of a run's timeout that does not depend on the expected time, in target latencies of its
+   * route.
+   */
   private static final double RUN_TARGETS = 2.0;
 
   /** Factor for the expected time in the timeout of a run. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/DispatchParameters.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/DispatchParameters.java
@@ -18,7 +18,7 @@
  * @param minRetryAfter shortest time after which a refused caller is told to try again
  * @param stages when engines change their stage
  * @param waiting how requests that compete for capacity are handled
- * @param learnsPace whether the pace of each engine is estimated and used in placement
+ * @param learnsPace whether the pace of each engine is estimated and taken into account
  */
 public record DispatchParameters(
     String node,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -193,14 +193,14 @@
 
   /**
    * The stage change that this node should order now, if any; called about every 100 ms. The caller
-   * reports that it orders the change by {@link #onStageChangeBegun}, and that it cannot or gets no
-   * answer through {@link #stages}.
+   * reports through {@link #onStageChangeBegun} that it orders the change, and through {@link
+   * #stages} when the order was not given, was refused or got no answer.
    */
   public Optional<StageChange> wantedStageChange(long nowNanos) {
     return routing.flatMap(image -> stages.onTick(image.services(), nowNanos));
   }
 
-  /** Which stage each engine serves, and whether this node orders changes of it. */
+  /** Decides which stage each engine serves, and whether this node orders the changes. */
   public StageControl stages() {
     return stages;
   }
@@ -428,9 +428,9 @@
   }
 
   /**
-   * Every send to an engine goes through this method. Before each send it stops a content that has
-   * crashed several engines: sent on under every new id, one such content crashed 20 engines in 14
-   * s and ended all requests that ran beside it.
+   * Every send to an engine goes through this method. Before each send, it refuses a content that
+   * has crashed several engines: when one was sent on under every new id, it crashed 20 engines in
+   * 14 s, and all requests that ran beside it ended with them.
    */
   private Decision place(RequestProgress progress, boolean mayPrefill, long nowNanos) {
     QuarantineStatus status = quarantine.status(progress.content(), nowNanos);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -32,15 +32,15 @@
  */
 final class EngineSelector {
 
-  /** Cost of an engine in another zone, in the unit of relative load: requests per capacity. */
+  /** Cost of an engine in another zone, in units of relative load (requests per capacity). */
   private static final double OTHER_ZONE_RUN_COST = 0.03;
 
-  /** Cost of an engine that fails every answer, in the unit of relative load. */
+  /** Cost of an engine that fails every answer, in units of relative load. */
   private static final double FAILURE_RUN_COST = 1.0;
 
   /**
-   * Mean age of a load report when the next one comes, without delays on the way: half of the
-   * interval of 100 ms, as nodes report their load to each other ten times a second.
+   * Mean age of the latest load report of another node, not counting its delay on the way: half of
+   * the interval of 100 ms, as nodes report their load to each other ten times a second.
    */
   private static final double MEAN_REPORT_AGE_MILLIS = 50;
 
@@ -116,12 +116,18 @@
     return !engine.leaving() && healthy(engine, nowNanos);
   }
 
-  /** How long it takes until this node learns what another node has sent to the engines, in ms. */
+  /**
+   * How long it takes until this node learns what another node has sent to the engines, in ms; 0
+   * where nodes report to each other directly.
+   */
   double lagMillis(long nowNanos) {
     return peerLoads.lagMillis(nowNanos);
   }
 
-  /** How old this node's view of the other nodes' load becomes before it is refreshed, in ms. */
+  /**
+   * Mean age of what this node knows of the other nodes' load, in ms; also the mean time until it
+   * learns of a change there.
+   */
   double refreshMillis(long nowNanos) {
     return MEAN_REPORT_AGE_MILLIS + lagMillis(nowNanos);
   }
@@ -372,12 +378,12 @@
   }
 
   /**
-   * Engines that the request may be sent to. First choice are healthy engines that it was not sent
-   * to yet; if there is none, those that are just not leaving; then those that began to leave a
-   * short while ago. Engines that rest are never included: a node once sent 4 requests within 3 s
-   * to an engine that rejected them all, because it had the least load. Engines whose limit leaves
-   * this node no share now are not included either, since all nodes together would send more than
-   * the engine has room for.
+   * Engines that the request may be sent to, without those that it was sent to before. First choice
+   * are healthy engines; if there is none, all that are not leaving; if every engine is leaving,
+   * rests or has reached its limit, those that began to leave a short while ago. Engines that rest
+   * are never included: a node once sent 4 requests within 3 s to an engine that rejected them all,
+   * because it had the least load. Engines whose limit leaves this node no share now are not
+   * included either, since all nodes together would send more than the engine has room for.
    */
   private List<ServingEngine> candidates(
       RequestProgress progress, Predicate<ServingEngine> fits, long nowNanos) {
@@ -416,7 +422,7 @@
 
   /**
    * Whether the first request after a rest is still unanswered. Its answer shows whether the rest
-   * has ended, so no others follow before.
+   * has ended, so no others are sent before it.
    */
   private boolean awaitsAnswerAfterRest(ServingEngine engine) {
     OptionalLong end = notices.restEnd(engine.id());
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
@@ -14,14 +14,14 @@
  * elsewhere. The expected time must exceed the remaining time by a margin, since callers ahead may
  * leave and estimates err in both directions; in doubt the prompt is served. Second, prompts that
  * would wait for long: a caller that is told when to try again finds capacity once the peak is
- * over, while waiting it would stay behind all prompts that can be in time. A caller that has come
- * back is not refused for the second reason again: it has little time left, and its prompt goes
- * ahead of new prompts that are late. Stateless.
+ * over, whereas its prompt would wait behind all that can be in time. A caller that has come back
+ * is not refused for the second reason again: it has little time left, and its prompt goes ahead of
+ * new prompts that are late. Stateless.
  */
 final class OverloadPolicy {
 
   /**
-   * A prompt that would wait for more than this part of the remaining time is refused, since
+   * A late prompt that would wait for more than this part of the remaining time is refused, since
    * prompts that arrive meanwhile and can be in time go ahead of it.
    */
   private static final double MAX_WAIT_FRACTION = 0.5;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -55,7 +55,7 @@
 
   /**
    * Prompts whose shared parts are shorter than this are spread over engines by request, because
-   * reading such a part twice costs little. Shorter parts are not copied either.
+   * reading such a part twice costs little. Parts below this length are not copied either.
    */
   private static final int MIN_ORDERED_TOKENS = EngineSelector.MIN_COPIED_TOKENS;
 
@@ -88,8 +88,8 @@
   private static final double MILLIS_PER_STREAM = 0.5;
 
   /**
-   * Safety factor for times that turn out longer than expected. Under a backlog, the ninth decile
-   * of the actual times at prefill engines was 1.25 times that of the expected ones.
+   * Safety factor for times that turn out longer than expected. Under a backlog, the 90th
+   * percentile of the actual times at prefill engines was 1.25 times that of the expected ones.
    */
   private static final double IN_TIME_MARGIN = 1.2;
 
@@ -421,8 +421,9 @@
   /**
    * Time for which a request beyond the engine's slots waits for another to end, in ms. A prompt
    * that has been read can only go to a decode engine, and should go where slots become free
-   * soonest: one does in each service time divided by the number of slots. Charging this to prompts
-   * that are still to be read would send them to prefill engines, which may be the scarcer ones.
+   * soonest: on average, one becomes free after each service time divided by the number of slots.
+   * The same cost for prompts that are still to be read would send them to prefill engines, which
+   * may be in shorter supply than decode engines.
    */
   private double slotWaitMillis(Input input, ServingEngine engine, int running) {
     int over = Math.max(0, running + 1 - engine.slots());
@@ -435,8 +436,8 @@
   }
 
   /**
-   * Time for which a request waits because the KV cache of the engine is full, in ms; it would
-   * wait, or evict a less urgent one.
+   * Expected time until the KV cache of the engine has room for the request, in ms: a request that
+   * does not fit waits, or evicts less urgent ones.
    */
   private double cacheWaitMillis(Input input, ServingEngine engine, int running) {
     if (input.profile().isEmpty() || !input.waiting().cacheRoom()) {
@@ -482,10 +483,11 @@
   }
 
   /**
-   * Range of the random spread over plans, in ms. Plans whose costs differ by less than this node
-   * can know are ranked by the spread; otherwise all nodes would take the engine that was least
-   * loaded a moment ago. Requests that others have placed and this node does not know of keep an
-   * engine busy for at most the reporting lag, if engines are busy at all.
+   * Upper bound, in ms, of the pseudorandom amount that is added to the cost of each plan. It
+   * decides between plans whose costs differ by less than this node can know; otherwise all nodes
+   * would take the engine that was least loaded a moment ago. Requests that others have placed and
+   * this node does not know of keep an engine busy for at most the reporting lag, and only where
+   * engines are busy at all.
    */
   private double spreadMillis(Input input, List<Plan> plans) {
     long busy = plans.stream().filter(plan -> plan.aheadTokens() > 0).count();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RefusalCause.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RefusalCause.java
@@ -15,7 +15,7 @@
   TIME_OVER,
   /** The service has no engine that the request could be sent to. */
   NO_ENGINE,
-  /** Every engine that the request was sent to rejected it without running it. */
+  /** No engine that the request was sent to took it, and none can have run it. */
   TURNED_AWAY,
   /** Every engine rests, or has reached its limit. */
   CLOSED,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Refusals.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Refusals.java
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Refuses a request for which no engine is left to send it to.
+   * Refuses a request because no engine is left to send it to.
    *
    * @param closed time until the first engine takes requests again; empty unless all of them refuse
    *     requests now
@@ -75,8 +75,8 @@
 
   /**
    * Refuses a request while every engine of its service rests or has reached its limit. A caller
-   * that comes back sooner would only be refused again; callers with more urgent requests return
-   * first.
+   * that comes back sooner would be refused again and waste a try; callers with more urgent
+   * requests are told to return first.
    */
   private Decision allEnginesClosed(RequestProgress progress, Duration closed) {
     Duration retryDelay =
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestEnvelope.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestEnvelope.java
@@ -11,8 +11,8 @@
  *
  * @param requestId id that the caller gave this request; a retry by the caller has another
  * @param route the route that the request matched
- * @param caller the tenant on whose behalf it runs
- * @param rank its rank among the requests of its service
+ * @param caller on whose behalf it runs
+ * @param rank its place in the order of urgency of its service
  * @param prompt size and parts of its prompt; empty for an application request
  * @param arrivedNanos when the whole request had been received
  * @param answerByNanos the deadline: when the caller or the operator stops waiting, whichever is
@@ -33,7 +33,7 @@
    */
   private static final double FIRST_TRY_MIN_FRACTION = 0.9;
 
-  /** A request of a caller that is not authenticated. */
+  /** A request whose caller is not checked, as no tenants are configured. */
   public RequestEnvelope(
       String requestId,
       Route route,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
@@ -263,7 +263,7 @@
     chargedTokens = 0;
   }
 
-  /** Takes the present attempt out of the count of sends, since no byte of it reached an engine. */
+  /** Takes the last attempt out of the count of sends, since no byte of it reached an engine. */
   void uncountSend() {
     sends--;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryBudget.java
@@ -9,14 +9,14 @@
  * requests that all nodes received for that service, plus a fixed slack. {@link SharedBudget}
  * shares both among the nodes that have requests to repeat, since failures may concern some nodes
  * only. A new process does not know what its predecessor repeated, so in its first window it uses
- * only the part of its share that a longer-running process leaves unused. Only the dispatch thread
+ * only the part of its share that no process uses after its first window. Only the dispatch thread
  * calls.
  */
 final class RetryBudget {
 
   /**
-   * Fraction of the ratio that is used, so that the bound also holds for repeats that reach the
-   * service a window later.
+   * Fraction of the ratio that is used after the first window, so that repeats stay within the
+   * bound although they reach the service up to a window after the requests that allow them.
    */
   private static final double RATIO_FRACTION = 0.8;
 
@@ -30,8 +30,9 @@
   private static final double STARTING_SLACK_FRACTION = 0.3;
 
   /**
-   * Fraction of the share of the slack that it uses later. Together with the other fraction, one
-   * restart per window stays within the bound.
+   * Fraction of this node's share of the slack that a process uses after its first window. It adds
+   * up to 1 with {@link #STARTING_SLACK_FRACTION}, so one restart per window stays within the
+   * bound.
    */
   private static final double STEADY_SLACK_FRACTION = 1 - STARTING_SLACK_FRACTION;
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
@@ -32,7 +32,7 @@
    */
   private static final int MAX_SENDS_BEYOND_RUNS = 2;
 
-  /** With less time left, no further attempt is made. */
+  /** With less time left, a failed run is not repeated. */
   private static final Duration MIN_TIME_FOR_ATTEMPT = Duration.ofMillis(10);
 
   private final Map<String, RetryBudget> budgets = new HashMap<>();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
@@ -6,7 +6,7 @@
   NO_ANSWER,
   /** This node or several others suspect the engine, and it answers no request. */
   ENGINE_SUSPECTED,
-  /** The engine has answered no request for longer than a working engine would. */
+  /** The engine has answered no request for longer than a working engine would take. */
   ENGINE_SILENT,
   /** The engine answers other requests, but nothing comes over this connection. */
   CONNECTION_SILENT,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Urgency.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Urgency.java
@@ -8,7 +8,7 @@
  * only a slot and a transfer of the KV cache, and the work of reading is lost when their caller
  * leaves. Then come those that can still be answered in time. A request that cannot be in time
  * would only make others late if it went ahead of them; it even goes behind requests of lower ranks
- * where it can be served all the same.
+ * where both can be served.
  */
 enum Urgency {
   /** The prompt has been read; its KV cache waits at another engine. */
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/SharedRetryBudgetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/SharedRetryBudgetTest.java
@@ -19,7 +19,7 @@
   private static final double LOST = 0.05;
   private static final int[] SIZES = {1, 2, 3, 8, 9, 30, 63, 112, 338};
 
-  /** Failures at one node, some or all of them, steady or in bursts. */
+  /** Failures at one node, a third of them or all, steady, in bursts or moving between nodes. */
   private static BudgetFleet.Rate anyFailures(int nodes, double most, Random random) {
     int period = 1 + random.nextInt(12);
     int kind = random.nextInt(5);
@@ -35,7 +35,7 @@
     };
   }
 
-  /** Requests that arrive evenly, pause at times, or arrive at some of the nodes only. */
+  /** Requests that arrive evenly, pause at times, or arrive at a third of the nodes at a time. */
   private static BudgetFleet.Rate anyRequests(int nodes, double all, Random random) {
     int period = 2 + random.nextInt(10);
     int kind = random.nextInt(3);
