--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
@@ -117,7 +117,7 @@
     return taken;
   }
 
-  /** Returns the ids of the engines that have announced a limit, including one that has ended. */
+  /** Returns the ids of the engines that have announced a limit, even if it has ended since. */
   Set<String> known() {
     return Set.copyOf(engines.keySet());
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
@@ -27,7 +27,8 @@
   /**
    * How long this node remembers that an engine is leaving after the engine's directory entry is
    * gone. Entries expire while the store is unreachable (for 13 s in an observed case) and may come
-   * back. The time is an estimate: longer than any such outage, and short enough to keep little.
+   * back. The time is an estimate, meant to be longer than any such outage and short enough to keep
+   * little.
    */
   static final long KEPT_UNLISTED_NANOS = TimeUnit.MINUTES.toNanos(10);
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
@@ -151,8 +151,8 @@
   }
 
   /**
-   * Returns how fast engines read prompts, by service, as far as this node has learned it from its
-   * own requests.
+   * Returns how fast engines read prompts, by service, as far as this node has learned it or has
+   * taken it over from another node.
    */
   public Map<String, LearnedSpeed> ownSpeeds() {
     return speeds.learned();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LoadDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LoadDigest.java
@@ -14,7 +14,7 @@
  * @param nodes number of nodes for which it speaks
  * @param firstNode the first, in alphabetical order, of the names of those nodes that may order
  *     changes of stage; empty if none may
- * @param engines the load at each engine, by engine id; engines without any load are left out
+ * @param engines the load at each engine, by engine id; those with nothing to report are left out
  * @param prompts prompts placed since the last digest
  * @param speeds how fast engines read prompts, by service, as far as the node has learned it
  * @param budgets shares of retry budgets, by service; budgets that no node needs are left out
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -98,8 +98,8 @@
 
   /**
    * Records the expected duration of a prompt that is about to be sent. A prompt that another
-   * engine has read says nothing about reading, and a late one, which lets others go first, says
-   * nothing about how long reading takes; neither is recorded.
+   * engine has read says nothing about reading. A prompt that cannot be in time (late) lets others
+   * go first, so that it says nothing about how long reading takes. Neither is recorded.
    */
   void onPlaced(RequestProgress progress, PromptPlacement.Plan plan, long nowNanos) {
     if (!enabled
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
@@ -27,7 +27,7 @@
 
   /**
    * How long a relay's message counts: three heartbeats. The members of a lost relay find another
-   * one sooner than that, and count twice until then.
+   * one sooner than that, and count twice until the message of the lost relay expires.
    */
   private static final long RELAY_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
@@ -121,7 +121,7 @@
       return;
     }
     if (source == Source.VIEW) {
-      receivedByNode.values().removeIf(heard -> heard.source == Source.VIEW);
+      receivedByNode.values().removeIf(received -> received.source == Source.VIEW);
     }
     receivedByNode.put(digest.node(), new Received(digest, source, sender, nowNanos));
     sumsStale = true;
@@ -155,14 +155,15 @@
    */
   boolean isFirstByName(String node, long nowNanos) {
     return countedDigests(nowNanos).stream()
-        .allMatch(heard -> lowestName(node, heard.digest.firstNode()).equals(node));
+        .allMatch(received -> lowestName(node, received.digest.firstNode()).equals(node));
   }
 
   /**
    * Returns whether none of the other nodes that were heard recently may order changes of stage.
    */
   boolean noPeerMayOrder(long nowNanos) {
-    return countedDigests(nowNanos).stream().allMatch(heard -> heard.digest.firstNode().isEmpty());
+    return countedDigests(nowNanos).stream()
+        .allMatch(received -> received.digest.firstNode().isEmpty());
   }
 
   /** Returns the name that comes first in alphabetical order; an empty name stands for no node. */
@@ -207,7 +208,7 @@
     return Set.copyOf(budgets.keySet());
   }
 
-  /** Returns how many long answers the other nodes have begun at an engine. */
+  /** Returns how many long answers to the other nodes have begun at an engine. */
   int streams(String engineId, long nowNanos) {
     return sum(engineId, nowNanos).streams;
   }
@@ -230,7 +231,8 @@
 
   /** Returns how many nodes there are, this one included. */
   public int nodeCount(long nowNanos) {
-    return 1 + countedDigests(nowNanos).stream().mapToInt(heard -> heard.digest.nodes()).sum();
+    return 1
+        + countedDigests(nowNanos).stream().mapToInt(received -> received.digest.nodes()).sum();
   }
 
   /** Returns whether any node reports to this one. */
@@ -241,12 +243,13 @@
   /** Returns whether a view of the fleet came within the last {@code nanos}. */
   public boolean viewReceivedWithin(long nanos, long nowNanos) {
     return receivedByNode.values().stream()
-        .anyMatch(heard -> heard.source == Source.VIEW && nowNanos - heard.atNanos < nanos);
+        .anyMatch(
+            received -> received.source == Source.VIEW && nowNanos - received.atNanos < nanos);
   }
 
   /** Returns the addresses from which fresh messages of a kind came. */
   public List<NetworkAddress> senders(Source source, long nowNanos) {
-    return fresh(source, nowNanos).map(heard -> heard.sender).toList();
+    return fresh(source, nowNanos).map(received -> received.sender).toList();
   }
 
   /** Returns the load of this node and its members together. */
@@ -257,7 +260,7 @@
 
   private Stream<Received> fresh(Source source, long nowNanos) {
     return receivedByNode.values().stream()
-        .filter(heard -> heard.source == source && heard.fresh(nowNanos));
+        .filter(received -> received.source == source && received.fresh(nowNanos));
   }
 
   private static LoadDigest combine(LoadDigest own, List<Received> others, long nowNanos) {
@@ -284,7 +287,8 @@
     Map<NetworkAddress, LoadDigest> views = new HashMap<>();
     for (Received member : countedDigests) {
       if (member.source == Source.MEMBER) {
-        List<Received> others = countedDigests.stream().filter(heard -> heard != member).toList();
+        List<Received> others =
+            countedDigests.stream().filter(received -> received != member).toList();
         views.put(member.sender, combine(own, others, nowNanos));
       }
     }
@@ -300,9 +304,9 @@
                 all.computeIfAbsent(id, key -> new Sum()).add(engine, receivedNanos, nowNanos));
   }
 
-  private static void addBudgets(Map<String, BudgetDigest> all, Received heard, long nowNanos) {
-    if (nowNanos - heard.atNanos < SharedBudget.DIGEST_LIFETIME_NANOS) {
-      heard
+  private static void addBudgets(Map<String, BudgetDigest> all, Received received, long nowNanos) {
+    if (nowNanos - received.atNanos < SharedBudget.DIGEST_LIFETIME_NANOS) {
+      received
           .digest
           .budgets()
           .forEach((service, reported) -> all.merge(service, reported, BudgetDigest::plus));
@@ -328,15 +332,15 @@
   }
 
   private void recomputeSums(long nowNanos) {
-    receivedByNode.values().removeIf(heard -> !heard.fresh(nowNanos));
+    receivedByNode.values().removeIf(received -> !received.fresh(nowNanos));
     signsOfLife.values().removeIf(heardNanos -> nowNanos - heardNanos > SIGN_LIFETIME_NANOS);
     sums = new HashMap<>();
     budgets = new HashMap<>();
     countedDigests(nowNanos)
         .forEach(
-            heard -> {
-              addTo(sums, heard.digest, heard.atNanos, nowNanos);
-              addBudgets(budgets, heard, nowNanos);
+            received -> {
+              addTo(sums, received.digest, received.atNanos, nowNanos);
+              addBudgets(budgets, received, nowNanos);
             });
     sumsAtNanos = nowNanos;
     sumsStale = false;
@@ -345,9 +349,9 @@
   private List<Received> countedDigests(long nowNanos) {
     boolean viewKnown = viewReceivedWithin(VIEW_LIFETIME_NANOS, nowNanos);
     List<Received> countedDigests = new ArrayList<>();
-    for (Received heard : receivedByNode.values()) {
-      if (heard.fresh(nowNanos) && heard.source.counts(viewKnown)) {
-        countedDigests.add(heard);
+    for (Received received : receivedByNode.values()) {
+      if (received.fresh(nowNanos) && received.source.counts(viewKnown)) {
+        countedDigests.add(received);
       }
     }
     return countedDigests;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeed.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeed.java
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Returns the speed that this node has learned and can report to others; empty while it has seen
-   * too few prompts itself.
+   * Returns the speed that this node can report to others; empty while it has seen too few prompts
+   * itself and has taken over no other node's speed.
    */
   Optional<LearnedSpeed> learned() {
     return samples >= ENOUGH_SAMPLES
@@ -89,7 +89,7 @@
         : Optional.empty();
   }
 
-  /** Returns whether the speed was learned here or by another node, and is not the assumption. */
+  /** Returns whether the speed was learned here or taken over, and is more than an assumption. */
   boolean isKnown() {
     return takenOver || samples >= ENOUGH_SAMPLES;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeeds.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeeds.java
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Returns the learned speeds by service, of the services for which this node has seen enough
-   * prompts itself.
+   * Returns the speeds by service that this node has learned from enough prompts or has taken over
+   * from another node.
    */
   Map<String, LearnedSpeed> learned() {
     Map<String, LearnedSpeed> learned = new HashMap<>();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefixCacheEstimates.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefixCacheEstimates.java
@@ -77,9 +77,9 @@
   }
 
   /**
-   * Replaces the estimate for an engine by the listing that the engine gave. Parts that the engine
-   * may have read after it made the listing stay. Parts that were not known before count as the
-   * least recently used.
+   * Replaces the estimate for an engine by the listing that the engine gave, but keeps parts that
+   * are too small for the listing or that the engine may have read since. Parts that were not known
+   * before count as the least recently used.
    *
    * @param leastTokens minimum size in tokens; the listing leaves out smaller parts
    * @param askedAtNanos time at which the engine was asked
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ReportedLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ReportedLoads.java
@@ -5,8 +5,8 @@
 import org.fallturn.core.pace.ServerLoad;
 
 /**
- * Hands the loads that engines report from the client threads, which read the answers, to the
- * dispatch thread. Only the newest report of each engine is kept until it is taken. Thread-safe.
+ * Passes the loads that engines report in their answers from the client threads to the dispatch
+ * thread. Only the newest report of each engine is kept until it is taken. Thread-safe.
  */
 public final class ReportedLoads {
 
@@ -15,7 +15,8 @@
   private record Report(ServerLoad load, long atNanos) {}
 
   /**
-   * Receives the reports. It must ignore a report that is older than another one it has received.
+   * Receives the reports. A client thread may record a report late, so that it is passed after a
+   * newer one of the same engine. Such a report should change nothing.
    */
   interface LoadConsumer {
     void take(String engineId, ServerLoad load, long reportedNanos);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
@@ -38,9 +38,9 @@
   private static final double DEFAULT_SLOWNESS = 1.3;
 
   /**
-   * Number of later prompts that the engine reads first before an attempt counts as lost. Engines
-   * read in order of urgency and arrival, but a short prompt may overtake a long one. This value is
-   * an estimate.
+   * Number of prompts sent later that must overtake the prompt of an attempt before the attempt
+   * counts as lost. Engines read in order of urgency and arrival, but a short prompt may overtake a
+   * long one. This value is an estimate.
    */
   private static final int OVERTAKEN_TIMES_WHEN_LOST = 3;
 
@@ -70,8 +70,8 @@
   }
 
   /**
-   * Records that this node received a list of engines. The first time is when it begins to receive
-   * what other nodes report.
+   * Records that this node received a list of engines. From the first list on, this node also
+   * learns from other nodes which prompts they send to the engines.
    */
   void onDirectory(long nowNanos) {
     if (firstListedNanos.isEmpty()) {
@@ -85,9 +85,9 @@
   }
 
   /**
-   * Returns whether the engine may have prompts that were sent before this node started and that no
-   * node has reported to it. Such prompts have been read or given up once the timeout of a route
-   * has passed.
+   * Returns whether prompts may wait at engines that were sent before this node started and that no
+   * other node has reported to this one. Such prompts have been read or given up once the timeout
+   * of a route has passed.
    */
   private boolean mayMissPrompts(RequestProgress progress, long nowNanos) {
     long routeTime = progress.envelope().route().timeout().toNanos();
@@ -177,7 +177,8 @@
   }
 
   /**
-   * Returns why an attempt without a sign of life should be ended; empty if it should wait on.
+   * Returns why an attempt without a sign of life should be ended; empty if it should go on
+   * waiting.
    *
    * <p>Before its timeout, an attempt ends only if its engine has gone silent and the request may
    * go to another engine. After the timeout, it waits on while its prompt merely waits behind
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
@@ -42,9 +42,10 @@
   private static final Duration UNANSWERED_ORDER_TIME = Duration.ofSeconds(13);
 
   /**
-   * How long this node leaves the orders to another one after the store did not give it the lease.
-   * When the right to order returns, nobody orders for the term of the lease and its quiet time, so
-   * it should not return soon. This value is an estimate.
+   * How long this node leaves the orders to another one after it could not act for all nodes, for
+   * example because the store did not answer it. When the right to order moves back, nobody orders
+   * for the term of the lease and its quiet time, so it should not move back soon. This value is an
+   * estimate.
    */
   private static final long LEASE_DENIED_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(20);
 
@@ -113,8 +114,9 @@
   }
 
   /**
-   * Returns whether this node acts for all nodes. If the store has refused all candidates, each of
-   * them tries again and the lease decides, since a late report is worse than a futile call.
+   * Returns whether this node acts for all nodes. If all candidates have recently failed to do so,
+   * each of them tries again and the lease decides, since a late report is worse than a futile
+   * call.
    */
   public boolean leads(long nowNanos) {
     return isOrderingNode(nowNanos)
@@ -127,8 +129,8 @@
   }
 
   /**
-   * Returns whether this node may order changes: it is a candidate, and the store has not recently
-   * refused it the lease.
+   * Returns whether this node may order changes as far as is known: it is a candidate, and it has
+   * not recently failed to act for all nodes.
    */
   public boolean mayOrder(long nowNanos) {
     return candidate && isServed(nowNanos);
@@ -139,7 +141,10 @@
         || nowNanos - leaseDeniedNanos.getAsLong() >= LEASE_DENIED_PAUSE_NANOS;
   }
 
-  /** Records that the store did not give this node the lease, though it may serve other nodes. */
+  /**
+   * Records that this node cannot act for all nodes at present, though another node may be able to.
+   * For example, the store did not answer this node's call for the lease, but may serve others.
+   */
   public void onLeaseDenied(long nowNanos) {
     leaseDeniedNanos = OptionalLong.of(nowNanos);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
@@ -23,7 +23,7 @@
  * Simulates several dispatchers in front of engines, each of which crashes a while after it begins
  * to run one certain content (the poison). A crashed engine comes back under another id. Nodes
  * report crashes to each other in messages that are delayed and may be lost. A caller whose request
- * fails tries once more at another node. Time advances in steps.
+ * fails tries once more at a random node. Time advances in steps.
  */
 final class CrashingFleet {
 
@@ -41,8 +41,8 @@
   private static final int FIRST_IDS = 10_000;
 
   /**
-   * Bound set by the operators: within this time of its start, a node knows what concerns all
-   * nodes.
+   * Bound set by the operators: within this time, every node knows what concerns all nodes. For a
+   * node that started later, the time counts from its start.
    */
   static final long SETTLING_MILLIS = 3_000;
 
@@ -113,8 +113,8 @@
   }
 
   /**
-   * Returns the times in ms at which the poison was sent by a node that had been running for the
-   * settling time.
+   * Returns the times in ms at which the poison was sent by a node that had not restarted within
+   * the settling time before.
    */
   List<Long> settledPoisonSends() {
     return settledPoisonSends;
@@ -294,7 +294,7 @@
   }
 
   /**
-   * Withdraws the node's copies of a suspected content, as a gateway does. The engine drops a
+   * Withdraws the node's copies of a content in quarantine, as a gateway does. The engine drops a
    * request whose connection closes.
    */
   private void takeBackCopies(int node, RequestFingerprint content) {
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillFleet.java
@@ -75,7 +75,7 @@
     return refusals;
   }
 
-  /** Returns the times in ms from the arrival of requests to the begin of their answers. */
+  /** Returns the times in ms from the arrival of requests to the beginning of their answers. */
   List<Double> beginMillis() {
     return beginMillis;
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillSpeedTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillSpeedTest.java
@@ -38,7 +38,10 @@
     assertThat(speed.tokenMillis()).isBetween(1 / 80.0, 1 / 50.0);
   }
 
-  /** A speed that was taken over from another node counts as known. */
+  /**
+   * A node that has just taken over a speed reports that speed to others, so it must not be the
+   * node's own assumption.
+   */
   @Test
   void speedOfAnotherNodeIsTakenOverOnceAndOnlyWithFewSamples() {
     PrefillSpeed started = new PrefillSpeed(ASSUMED_SPEED);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/QuarantineFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/QuarantineFleetTest.java
@@ -12,12 +12,12 @@
 
 /**
  * One request content (the poison) crashes every engine that runs it. It arrives in rounds of
- * several copies at once, while engines lose power, connections are reset and nodes restart.
- * Without protection it crashed 23 engines in four rounds.
+ * several copies at once, while engines lose power, connections are reset and nodes restart. In the
+ * recorded incident it crashed 23 engines in four rounds.
  *
  * <p>No node may send the poison once the settling time has passed since the third crash, and no
  * other request may be taken for it. A node that has just started knows nothing yet, so the
- * settling time also counts from its start: in the 59 of 120 runs with two seeds in which sends
+ * settling time also counts from its start: in all 59 of 120 runs with two seeds in which sends
  * counted as too late, a lone node had started less than the settling time before each of them.
  */
 class QuarantineFleetTest {
