--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
@@ -9,20 +9,20 @@
  * without a round trip per request. The budget is a number of units for each request received, plus
  * a fixed number. Each node contributes the units for its own requests and an equal share of the
  * fixed number. It reserves a part of its contribution for itself; the rest forms a pool for the
- * nodes that need more. This serves failures that occur at one node, or at some, while the parts of
+ * nodes that need more. This helps when failures occur at one node, or at some, while the parts of
  * the others lie unused.
  *
  * <p>Invariant: what nodes that hear each other take within a window stays within what they
  * contribute together, and a node that hears no other takes no more than it contributes. Once a
  * node has heard that others want units, it lends them what it does not want itself, for a whole
- * window, and reports what it still reserves. Other nodes take from the pool only what certainly no
- * node reserves and no node, including those that are not heard any more, was heard to have taken.
- * Each node takes its share of the pool once per round trip of digests. That share counts this
- * node's demand only after the others have been reportedNodes of it, and the demand of others at
- * once.
+ * window, and reports what it still reserves. Other nodes take from the pool only units that
+ * certainly no node reserves and that no node was heard to have taken; nodes that are not heard any
+ * more count here, too. Each node takes its share of the pool once per round trip of digests. That
+ * share counts this node's demand only after the others have been told of it, and the demand of
+ * others at once.
  *
- * <p>Nodes send nothing while no node wants a unit. The caller must make sure that one thread calls
- * at a time.
+ * <p>Nodes send no digest of a budget while no node wants a unit of it. The caller must make sure
+ * that one thread calls at a time.
  */
 public final class SharedBudget {
 
@@ -44,8 +44,8 @@
   private static final int ROUND_TRIP_TENTHS = 2 * SETTLING_TENTHS;
 
   /**
-   * Demand of others that lasts for this time, in tenths of a second, is sustained and no burst.
-   * Each round reports it.
+   * Demand of others that lasts for this time, in tenths of a second, is sustained and no burst. It
+   * is sampled in each round.
    */
   private static final int SUSTAINED_TENTHS = 15;
 
@@ -188,7 +188,7 @@
 
   /**
    * Units of the whole budget that others have not taken. This bounds the reserve, too: if requests
-   * moved from node to node, each node could otherwise use up the part of a whole window.
+   * moved from node to node, each node could otherwise take its part in a window of its own.
    */
   private double notUsedByOthers(long nowNanos) {
     double own = ownContribution(nowNanos);
@@ -208,8 +208,8 @@
   private double contributionOfOthers() {
     int reportedNodes = others.nodes();
     int maximum = nodes.getAsInt() - 1;
-    double deduplication = reportedNodes > maximum ? (double) maximum / reportedNodes : 1;
-    return deduplication
+    double deduplicationFactor = reportedNodes > maximum ? (double) maximum / reportedNodes : 1;
+    return deduplicationFactor
         * (perRequest * others.requests() + fixed * reportedNodes / nodes.getAsInt());
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedRate.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedRate.java
@@ -13,12 +13,12 @@
  * allows bursts after an idle time.
  *
  * <p>Invariant: the shares of all nodes add up to no more than the rate, whichever nodes hear each
- * other. A node counts its own demand only once the others have certainly been newOthers of it, and
- * the demand of others at once. It takes no more than the fraction of the fleet that it hears
- * applying the limit, so that a node which hears no other gets an equal share. The whole fleet,
- * whatever its size, holds few permits that no request has used, since all of them may be used at
- * the same moment. The requests that all nodes are known to have sent within the window bound what
- * a node may send.
+ * other. A node counts its own demand only once the others have certainly been told of it, and the
+ * demand of others at once. Of the rate it takes no more than the fraction of all nodes, itself
+ * included, that it knows to apply the limit, so that a node which hears no other gets an equal
+ * share. The whole fleet, whatever its size, holds few permits that no request has used, since all
+ * of them may be used at the same moment. In addition, what a node may send is limited by what all
+ * nodes are known to have sent within the window.
  *
  * <p>The caller must make sure that one thread calls at a time.
  */
@@ -167,10 +167,7 @@
     return new RateDigest(1, weight(wanted(0, nowNanos)), ready(), sent.sum(nowNanos));
   }
 
-  /**
-   * An estimate of the time until a request may be sent, capped so that the caller tries again soon
-   * enough.
-   */
+  /** An estimate of the time until a request may be sent; at most 5 s. */
   public Duration untilNext(long nowNanos) {
     accrue(nowNanos);
     double rate = rate(nowNanos);
@@ -241,8 +238,9 @@
   }
 
   /**
-   * This node's share of the heard part of the rate, by the demand that the others know of; an
-   * equal share and no more until they know of it.
+   * This node's share of the part of the rate that falls to the nodes it hears, itself included. It
+   * follows the part of this node's demand that the others know of; until they know of any, it is
+   * an equal share and no more.
    */
   private double share(long nowNanos) {
     int now = weight(wanted(0, nowNanos));
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingCount.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SlidingCount.java
@@ -49,7 +49,8 @@
   /**
    * The number of events within some buckets of the window.
    *
-   * @param included number of buckets to count
+   * @param included number of buckets to count; one more is counted, so that never less than their
+   *     time is covered
    * @param skipped number of newest buckets to leave out
    */
   int sum(int included, int skipped, long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/NodeCount.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/NodeCount.java
@@ -9,7 +9,10 @@
  */
 final class NodeCount {
 
-  /** Longer than a message of a node that has changed its relay still counts. */
+  /**
+   * The period of which the lowest count is taken: longer than a message of a node that has changed
+   * its relay still counts.
+   */
   private static final long PERIOD_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** How long the highest count holds. */
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/OwnLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/OwnLoad.java
@@ -13,7 +13,7 @@
  * @param engines its load at the engines, by engine id
  * @param speeds the learned prefill speeds of engines, by service
  * @param crashes contents that may crash engines, as far as others should hear of them now
- * @param mayOrder whether it may order stage changes when its name is the first
+ * @param mayOrder whether it may order stage changes; of all nodes that may, the first by name does
  * @param budgets its parts of retry budgets, by service
  */
 public record OwnLoad(
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -23,8 +23,8 @@
 /**
  * Exchanges what nodes know of engines over an overlay network of relays: it decides which messages
  * this node sends to which nodes, and processes those that it receives. A node reports to one
- * relay, which sends it the view of all other nodes. Relays exchange what they and the nodes that
- * report to them, their members, know. In a small fleet all nodes are relays.
+ * relay, which sends it the view of all other nodes. Relays send each other what they and the nodes
+ * that report to them, their members, have at the engines. In a small fleet all nodes are relays.
  *
  * <p>Invariants: the load of a node is passed on only by the relay that it reports to, so that no
  * sum counts it twice for longer than {@link PeerLoads} keeps a message. A report goes only to a
@@ -34,7 +34,7 @@
  */
 public final class RelayOverlay {
 
-  /** The time of a round: how often changes are sent. */
+  /** The length of a round: how often changes are sent. */
   private static final long ROUND_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /**
@@ -49,7 +49,8 @@
   private static final long OWN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
   /**
-   * How often a node without changes sends a message: a fifth of the time that a message counts.
+   * How often a node without changes sends a message: a fifth of the time for which {@link
+   * PeerDirectory} counts a node as heard.
    */
   private static final long HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
@@ -186,9 +187,9 @@
   }
 
   private void receiveLoad(PeerMessage message, long nowNanos) {
-    NetworkAddress speaker = message.sender().address();
+    NetworkAddress sender = message.sender().address();
     if (message.kind() == MessageKind.GREETING) {
-      pendingWelcomes.add(speaker);
+      pendingWelcomes.add(sender);
     } else if (message.kind() == MessageKind.WELCOME) {
       count.onPeerReport(message.load().nodes(), nowNanos);
     }
@@ -197,7 +198,7 @@
       message
           .kind()
           .source()
-          .ifPresent(source -> loads.onDigest(message.load(), source, speaker, nowNanos));
+          .ifPresent(source -> loads.onDigest(message.load(), source, sender, nowNanos));
     }
   }
 
@@ -206,8 +207,8 @@
   }
 
   /**
-   * Queues received updates. A relay passes on what a member reported to the other relays and its
-   * members, and what relays sent to its members only.
+   * Queues received updates. A relay passes on the updates of a member to the other relays and to
+   * its members, and the updates of another relay to its members only.
    */
   private void receiveUpdates(PeerMessage message, long nowNanos) {
     if (message.kind() == MessageKind.WELCOME) {
@@ -580,7 +581,8 @@
       return;
     }
     if (!directory.anyHeard(nowNanos)) {
-      // A node that hears no other must not appear as a relay: others would report to it in vain.
+      // If a node that hears no other sent its group, others would take it for a relay and report
+      // to it in vain.
       return;
     }
     PeerMessage toOthers =
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayRanking.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayRanking.java
@@ -20,7 +20,8 @@
 
   /**
    * The least number of relays of a fleet, so that in a fleet of up to this many nodes each sends
-   * to all others directly.
+   * to all others directly. 12 is the number of peers to which each node sent its load per round
+   * before there were relays.
    */
   private static final int MIN_RELAYS = 12;
 
@@ -84,7 +85,7 @@
 
   /**
    * The number of relays per zone. Relays send messages to each other and to their members; the sum
-   * is least when the relays number the square root of the nodes.
+   * is least when the number of relays is the square root of the number of nodes.
    */
   private static int relaysPerZone(List<PeerInfo> strong, int nodeCount) {
     double wanted = Math.max(MIN_RELAYS, Math.sqrt(nodeCount));
@@ -124,8 +125,9 @@
   }
 
   /**
-   * The nodes to ask for rows. First, twice, this node's relay, which is near and reports a change
-   * before it has the rows; then the nodes that watch the store, which have the rows first.
+   * The nodes to ask for rows: first this node's relay, which is near, and the relay a second time,
+   * since it reports a change before it has the rows itself; then the nodes that watch the store,
+   * which have the rows first.
    */
   private List<NetworkAddress> rowSources(Optional<PeerInfo> relay) {
     List<NetworkAddress> sources = new ArrayList<>();
--- a/fallturn-core/src/test/java/org/fallturn/core/limits/SharedRateTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/limits/SharedRateTest.java
@@ -93,7 +93,7 @@
   }
 
   /**
-   * The node must send at least nine tenths of what the limit allows, when demand exceeds the
+   * The node must send more than nine tenths of what the limit allows, when demand exceeds the
    * limit.
    */
   @ParameterizedTest
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
@@ -56,7 +56,7 @@
    * Changes the table and runs the fleet until all running nodes know the change.
    *
    * @param mostMillis the longest time to run, in ms
-   * @return the time until then, in ms
+   * @return the time until then in ms; {@code mostMillis} when some node does not know it by then
    */
   int millisUntilChangeIsKnown(int mostMillis) {
     storeVersion++;
