--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
@@ -18,55 +18,59 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * Asks model engines which prompt parts they keep, since what is believed drifts away from the
- * truth. One node asks an engine every few seconds and tells the others. A node that has just
- * started asks the others for all that they know; what none of them tells it asks itself. An answer
- * holds up the engine's work for a moment, so that few are asked at once. Only the dispatch thread
- * calls; answers come back to it as events.
+ * Polls model engines for the prompt parts in their caches, since the estimate that this node keeps
+ * drifts from the actual contents. One node polls an engine every few seconds and publishes the
+ * answer to the others. A node that has just started asks the others for all lists that they have,
+ * and polls the engines of which none of them sent a list. An answer delays the engine's work for a
+ * moment, so few engines are polled at once. Only the dispatch thread calls, except for {@link
+ * #answered}; answers return to that thread as events.
  */
 final class CacheSurvey {
 
-  private static final int MAX_ASKED_AT_ONCE = 6;
+  private static final int MAX_CONCURRENT_POLLS = 6;
 
-  /** How often an engine is asked by the fleet. */
-  private static final long PAUSE_NANOS = TimeUnit.SECONDS.toNanos(5);
+  /** How often the fleet polls an engine. */
+  private static final long INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(5);
 
-  /** After which a node asks although another should have: three rounds were missed. */
-  private static final long LONGEST_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(15);
+  /** After this time, three missed rounds, a node polls although another should have done so. */
+  private static final long MAX_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(15);
 
-  /** How long a node that has just started waits for what the others know. */
+  /** How long a node that has just started waits for the lists of other nodes. */
   private static final long WAIT_FOR_PEERS_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
-  /** A prompt that waits longer for what engines keep gains less than it loses. */
-  private static final long LONGEST_PATIENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  /**
+   * How long after the start prompts wait for cache lists; a longer wait costs a prompt more than a
+   * better placement saves.
+   */
+  private static final long MAX_PROMPT_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
   private final CacheLister lister;
   private final Consumer<DispatchEvent> events;
   private final Predicate<String> asks;
   private final boolean firstStart;
   private final Map<String, Surveyed> engines = new HashMap<>();
-  private int asked;
-  private boolean begun;
-  private long begunNanos;
+  private int pendingPolls;
+  private boolean started;
+  private long startedNanos;
   private volatile int answered;
 
-  /** Way to an engine's list. */
+  /** Requests the cache list of an engine. */
   interface CacheLister {
 
     /**
-     * Asks an engine.
+     * Asks an engine for the prompt parts in its cache.
      *
-     * @param answer told once, on any thread, without parts when the engine did not say
+     * @param answer called once, on any thread; empty when the engine did not answer
      */
     void listCache(ServingEngine engine, Consumer<Optional<List<PromptPart>>> answer);
   }
 
-  /** One engine. */
+  /** What is known about the list of one engine. */
   private static final class Surveyed {
     private ServingEngine engine;
     private boolean known;
     private long lastNanos;
-    private boolean asking;
+    private boolean polling;
 
     Surveyed(ServingEngine engine, boolean known, long nowNanos) {
       this.engine = engine;
@@ -76,12 +80,13 @@
   }
 
   /**
-   * A survey that has asked nobody.
+   * Creates a survey that has polled no engine.
    *
-   * @param events told of each answer, with {@link DispatchEvent.CacheListed}
-   * @param asks whether this node is the one that asks an engine, by id
-   * @param firstStart whether the whole system starts for the first time, so that engines keep
-   *     nothing yet
+   * @param lister sends the calls to engines
+   * @param events receives a {@link DispatchEvent.CacheListed} for each answer
+   * @param asks whether this node is the one that polls the engine with the given id
+   * @param firstStart whether the whole system starts for the first time, so that all caches are
+   *     empty
    */
   CacheSurvey(
       CacheLister lister,
@@ -95,28 +100,28 @@
   }
 
   /**
-   * Whether prompts that share much with others had better wait: just after the start, while what
-   * engines keep is not known.
+   * Whether prompts that share many tokens with others should wait: shortly after the start, while
+   * the list of some engine is missing.
    */
-  boolean wantsPatience(long nowNanos) {
-    return nowNanos - begunNanos < LONGEST_PATIENCE_NANOS && someUnknown();
+  boolean shouldDelayPrompts(long nowNanos) {
+    return nowNanos - startedNanos < MAX_PROMPT_DELAY_NANOS && someUnknown();
   }
 
-  /** Whether the other nodes should be asked for what they know. */
+  /** Whether the other nodes should be asked for their lists. */
   boolean wantsListings(long nowNanos) {
-    return begun && nowNanos - begunNanos < WAIT_FOR_PEERS_NANOS && someUnknown();
+    return started && nowNanos - startedNanos < WAIT_FOR_PEERS_NANOS && someUnknown();
   }
 
   private boolean someUnknown() {
     return engines.values().stream().anyMatch(surveyed -> !surveyed.known);
   }
 
-  /** Takes a newer list of engines. Engines that come later have just begun and keep nothing. */
+  /** Applies a newer list of engines. Engines that are added later start with empty caches. */
   void onDirectory(EngineDirectory newDirectory, long nowNanos) {
-    boolean areNew = begun || firstStart;
-    if (!begun) {
-      begun = true;
-      begunNanos = nowNanos;
+    boolean areNew = started || firstStart;
+    if (!started) {
+      started = true;
+      startedNanos = nowNanos;
     }
     Set<String> present = new HashSet<>();
     for (ServingEngine engine : newDirectory.all()) {
@@ -130,7 +135,7 @@
     answered = (int) engines.values().stream().filter(surveyed -> surveyed.known).count();
   }
 
-  /** Another node told what an engine keeps. */
+  /** Another node sent the list of an engine. */
   void onTold(String engineId, long nowNanos) {
     Surveyed surveyed = engines.get(engineId);
     if (surveyed != null) {
@@ -146,12 +151,12 @@
     }
   }
 
-  /** An engine answered, or did not. */
+  /** Ends a poll: the engine answered, or the call failed. */
   void onAnswer(DispatchEvent.CacheListed answer, long nowNanos) {
-    asked--;
+    pendingPolls--;
     Surveyed surveyed = engines.get(answer.engineId());
     if (surveyed != null) {
-      surveyed.asking = false;
+      surveyed.polling = false;
       surveyed.lastNanos = nowNanos;
       if (answer.parts().isPresent()) {
         onKnown(surveyed, nowNanos);
@@ -160,40 +165,43 @@
     onTick(nowNanos);
   }
 
-  /** Asks the engines that are due; those that read prompts ahead keep most and go first. */
+  /** Polls the engines that are due. Prefill engines go first, since they cache most. */
   void onTick(long nowNanos) {
     List<Surveyed> due = new ArrayList<>();
     for (Surveyed surveyed : engines.values()) {
-      if (!surveyed.asking && isDue(surveyed, nowNanos)) {
+      if (!surveyed.polling && isDue(surveyed, nowNanos)) {
         due.add(surveyed);
       }
     }
     due.sort(Comparator.comparing(surveyed -> surveyed.engine.stage() != EngineStage.PREFILL));
     for (Surveyed surveyed : due) {
-      if (asked < MAX_ASKED_AT_ONCE) {
-        ask(surveyed, nowNanos);
+      if (pendingPolls < MAX_CONCURRENT_POLLS) {
+        poll(surveyed, nowNanos);
       }
     }
   }
 
-  /** Who asks is looked up last: it weighs every relay, and most ticks find that nothing is due. */
+  /**
+   * Whether this node should poll the engine now. Looks up last which node polls it: that ranks
+   * every relay, and on most ticks nothing is due.
+   */
   private boolean isDue(Surveyed surveyed, long nowNanos) {
     long since = nowNanos - surveyed.lastNanos;
-    if (since >= (surveyed.known ? LONGEST_PAUSE_NANOS : WAIT_FOR_PEERS_NANOS)) {
+    if (since >= (surveyed.known ? MAX_INTERVAL_NANOS : WAIT_FOR_PEERS_NANOS)) {
       return true;
     }
-    boolean perhapsDue = !surveyed.known || since >= PAUSE_NANOS;
+    boolean perhapsDue = !surveyed.known || since >= INTERVAL_NANOS;
     return perhapsDue && asks.test(surveyed.engine.id());
   }
 
-  private void ask(Surveyed surveyed, long nowNanos) {
-    surveyed.asking = true;
-    asked++;
+  private void poll(Surveyed surveyed, long nowNanos) {
+    surveyed.polling = true;
+    pendingPolls++;
     ServingEngine engine = surveyed.engine;
     lister.listCache(engine, parts -> events.accept(event(engine, nowNanos, parts)));
   }
 
-  /** Of how many engines it is known what they keep; any thread may call. */
+  /** Number of engines whose list is known; any thread may call. */
   int answered() {
     return answered;
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHandler.java
@@ -26,17 +26,21 @@
 import org.fallturn.core.routing.Tenant;
 
 /**
- * The door for callers: finds the route, reads the body whole within the operator's limits and
- * hands the request to the dispatch duty. Called on server threads; never blocks.
+ * Jetty handler for callers' requests: matches the route, authenticates the caller, reads the whole
+ * body within the operator's limits and posts the request to the dispatch duty. Called on server
+ * threads; never blocks.
  */
 final class CallerRequestHandler extends Handler.Abstract.NonBlocking {
 
   private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(300);
 
-  /** While the store does not answer, only time helps; callers cap it by the time they have. */
+  /**
+   * Sent while the store does not answer: an earlier retry would fail too. Callers shorten it to
+   * the time that they have left.
+   */
   private static final Duration OUTAGE_RETRY_AFTER = Duration.ofSeconds(2);
 
-  /** How callers authenticate themselves. */
+  /** Authentication scheme of callers, sent in WWW-Authenticate. */
   private static final String BEARER = "Bearer";
 
   private final GatewayState gateway;
@@ -52,7 +56,7 @@
   @Override
   public boolean handle(Request request, Response response, Callback callback) {
     HandlerArguments caller = new HandlerArguments(request, response, callback);
-    watchHeads(request);
+    pauseHeadTimeout(request);
     if (!gateway.takesRequests()) {
       refuse(caller, requestId(request), ErrorKind.STOPPING, "this node is stopping");
       return true;
@@ -70,8 +74,11 @@
     return true;
   }
 
-  /** Between the head of a request and its answer no other head comes in. */
-  private static void watchHeads(Request request) {
+  /**
+   * Stops the timeout for request heads on this connection until the request is completed: the head
+   * of the next request is expected only then.
+   */
+  private static void pauseHeadTimeout(Request request) {
     if (request.getConnectionMetaData().getConnection().getEndPoint()
         instanceof WatchedEndPoint caller) {
       Runnable end = caller.beginServing();
@@ -90,19 +97,23 @@
   private void accept(HandlerArguments caller, RoutingImage routing) throws FallturnException {
     CallerRequestHead head = gateway.callerProtocol().readHead(caller.request());
     try {
-      admit(caller, head, routing).run();
+      prepare(caller, head, routing).run();
     } catch (FallturnException e) {
-      refuse(caller, head.requestId(), kindNow(e.kind()), e.getMessage());
+      refuse(caller, head.requestId(), reportedKind(e.kind()), e.getMessage());
     }
   }
 
-  /** What a newer configuration may hold is not denied, while this node is still to read it. */
-  private ErrorKind kindNow(ErrorKind kind) {
+  /**
+   * Replaces a denial by STORE_UNAVAILABLE while this node has yet to read a newer configuration:
+   * that one may hold the route or key.
+   */
+  private ErrorKind reportedKind(ErrorKind kind) {
     boolean denied = kind == ErrorKind.NOT_FOUND || kind == ErrorKind.UNAUTHENTICATED;
     return denied && gateway.routingIsBehind() ? ErrorKind.STORE_UNAVAILABLE : kind;
   }
 
-  private BodyCollector admit(HandlerArguments caller, CallerRequestHead head, RoutingImage routing)
+  private BodyCollector prepare(
+      HandlerArguments caller, CallerRequestHead head, RoutingImage routing)
       throws FallturnException {
     Route route =
         routing
@@ -122,11 +133,11 @@
 
   private void refuse(HandlerArguments caller, String requestId, ErrorKind kind, String reason) {
     log.refusedAtDoor(requestId, kind, reason);
-    Duration comeBack =
+    Duration delay =
         kind == ErrorKind.STORE_UNAVAILABLE && gateway.storeLost()
             ? OUTAGE_RETRY_AFTER
             : DEFAULT_RETRY_AFTER;
-    Optional<Duration> retryAfter = kind.hasRetryAfter() ? Optional.of(comeBack) : Optional.empty();
+    Optional<Duration> retryAfter = kind.hasRetryAfter() ? Optional.of(delay) : Optional.empty();
     HttpFields.Mutable headers = HttpFields.build();
     gateway.callerProtocol().addOwnAnswerHeaders(headers, requestId, retryAfter);
     caller.response().setStatus(kind.httpStatus());
@@ -140,7 +151,7 @@
     caller.response().write(true, BufferUtil.EMPTY_BUFFER, caller.callback());
   }
 
-  private void handOver(
+  private void dispatch(
       HandlerArguments caller, CallerRequestHead head, Admitted admitted, byte[] body) {
     if (!gateway.tryBegin(body.length)) {
       refuse(caller, head.requestId(), ErrorKind.NO_CAPACITY, "too many bytes in flight");
@@ -148,7 +159,7 @@
     }
     long now = System.nanoTime();
     Route route = admitted.route();
-    Duration patience =
+    Duration timeout =
         head.deadline().filter(d -> d.compareTo(route.timeout()) < 0).orElse(route.timeout());
     RequestEnvelope envelope =
         new RequestEnvelope(
@@ -158,7 +169,7 @@
             admitted.rank(),
             head.prompt(),
             now,
-            now + patience.toNanos());
+            now + timeout.toNanos());
     RequestContent content =
         new RequestContent(
             target(caller.request(), head), senderName(admitted.sender(), head), body);
@@ -167,7 +178,7 @@
     events.accept(new DispatchEvent.Arrived(exchange));
   }
 
-  /** A tenant is the same whichever of its keys it uses. */
+  /** Names the sender; all keys of a tenant give the same name. */
   private static String senderName(Caller sender, CallerRequestHead head) {
     return sender.tenant().map(Tenant::name).orElse(sender.keyHidden() ? "" : head.credentials());
   }
@@ -176,10 +187,10 @@
     return request.getMethod() + " " + head.host() + request.getHttpURI().getPathQuery();
   }
 
-  /** What the configuration in force says of a request. */
+  /** What the configuration in force says about a request that it admits. */
   private record Admitted(Route route, Caller sender, Rank rank) {}
 
-  /** Reads one body by asynchronous demand, so that a slow caller holds no thread. */
+  /** Reads one request body by asynchronous demand, so that a slow caller holds no thread. */
   private final class BodyCollector implements Runnable {
 
     private final HandlerArguments caller;
@@ -210,20 +221,20 @@
           return;
         }
         boolean last = chunk.isLast();
-        boolean fits = keep(chunk.getByteBuffer());
+        boolean appended = append(chunk.getByteBuffer());
         chunk.release();
-        if (!fits) {
+        if (!appended) {
           refuse(caller, head.requestId(), ErrorKind.TOO_LARGE, "body over " + maxBytes);
           return;
         }
         if (last) {
-          handOver(caller, head, admitted, body.toByteArray());
+          dispatch(caller, head, admitted, body.toByteArray());
           return;
         }
       }
     }
 
-    private boolean keep(ByteBuffer bytes) {
+    private boolean append(ByteBuffer bytes) {
       if (body.size() + bytes.remaining() > maxBytes) {
         return false;
       }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHead.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHead.java
@@ -5,14 +5,16 @@
 import org.fallturn.core.dispatch.PromptShape;
 
 /**
- * What the gateway needs from the head of a caller's request.
+ * The parts of a caller's request line and headers that the gateway uses.
  *
- * @param requestId the caller's id of this attempt
- * @param host host it names
+ * @param requestId id that the caller gave this attempt
+ * @param host value of the Host header
  * @param path path without query
- * @param credentials what the head says of the sender; empty when nothing. Never logged
- * @param key the key of a tenant that it bears, or what stands in its place; empty for none
- * @param deadline how long the caller waits; empty when it does not say
+ * @param credentials value of the header that identifies the sender; empty when it is missing.
+ *     Never logged
+ * @param key tenant key that the request carries, or credentials of another kind found in its
+ *     place; empty when there are none
+ * @param deadline how long the caller waits for the answer; empty when it does not say
  * @param prompt shape of the prompt; empty for an application request
  */
 public record CallerRequestHead(
@@ -24,7 +26,7 @@
     Optional<Duration> deadline,
     Optional<PromptShape> prompt) {
 
-  /** Without the key, as it may be logged. */
+  /** Leaves out credentials and key, since this text may be logged. */
   @Override
   public String toString() {
     return requestId + " for " + host + path;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerSocket.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerSocket.java
@@ -6,21 +6,21 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * The socket that callers connect to. Bound first of all at a start: from then on callers wait for
- * the rest of the start instead of being turned away.
+ * Binds the server socket that callers connect to. This is the first step of a start: from then on
+ * connections queue in the backlog until the start is complete instead of being refused.
  */
 public final class CallerSocket {
 
-  /** Connections that wait to be accepted; more than arrive during a start. */
-  private static final int MAX_WAITING = 512;
+  /** Backlog of connections that wait to be accepted; more than arrive during a start. */
+  private static final int BACKLOG = 512;
 
   private CallerSocket() {}
 
-  /** Binds the address; port 0 means any free one. */
+  /** Binds the address; port 0 means any free port. */
   public static ServerSocketChannel bind(NetworkAddress address) throws IOException {
     ServerSocketChannel socket = ServerSocketChannel.open();
     try {
-      socket.bind(new InetSocketAddress(address.host(), address.port()), MAX_WAITING);
+      socket.bind(new InetSocketAddress(address.host(), address.port()), BACKLOG);
     } catch (IOException e) {
       socket.close();
       throw e;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -27,22 +27,28 @@
 import org.fallturn.node.duty.DutyHandler;
 
 /**
- * The dispatch duty: asks the dispatcher what is next for each request and carries it out. Its
- * thread alone touches the dispatcher and the progress of requests; sends and answers are begun
- * here and go on elsewhere.
+ * Event handler of the dispatch duty: asks the dispatcher for the next step of each request and
+ * executes it. Only its thread touches the dispatcher and the progress of requests. It starts sends
+ * and answers; client and server threads continue them.
  */
 final class DispatchDuty implements DutyHandler<DispatchEvent> {
 
-  /** A prompt that shares less is read sooner than it is waited for. */
+  /**
+   * Prompts with fewer shared tokens do not wait for cache lists: an engine prefills so few tokens
+   * sooner than the wait would end.
+   */
   private static final int MIN_SHARED_TOKENS_TO_WAIT = 2_000;
 
-  /** How often engines are checked for silence, whose bounds are some hundred ms. */
+  /** How often engines are checked for silence. The bounds on silence are some hundred ms. */
   private static final long HEALTH_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  /** How often it is asked whether an engine should change its stage. */
+  /** How often this node checks whether an engine should change its stage. */
   private static final long STAGE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** How often a node that orders stages logs what it goes by: a line a second and service. */
+  /**
+   * How often a node that orders stages logs the figures that it decides by: one line a second for
+   * each service.
+   */
   private static final long OUTLOOK_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final Dispatcher dispatcher;
@@ -50,14 +56,14 @@
   private final DecisionLog log;
   private final PeerTalk peers;
   private final Set<Exchange> active = new HashSet<>();
-  private final PendingRequestTerminator held;
+  private final PendingRequestTerminator terminator;
   private final CacheSurvey survey;
   private final Consumer<StageChange> stageChanges;
   private final QuarantineKeeper keeper;
   private final RunCounter runs;
   private final Scaling scaling;
-  private final List<Exchange> waitingForSurvey = new ArrayList<>();
-  private final Map<RequestProgress, Exchange> waitingForRoom = new HashMap<>();
+  private final List<Exchange> waitingForCacheLists = new ArrayList<>();
+  private final Map<RequestProgress, Exchange> waitingForEngine = new HashMap<>();
   private final BooleanSupplier stopping;
   private long lastHealthNanos;
   private long lastStageNanos;
@@ -77,7 +83,7 @@
     this.dispatcher = dispatcher;
     this.engines = engines;
     this.log = log;
-    this.held = new PendingRequestTerminator(engines, log);
+    this.terminator = new PendingRequestTerminator(engines, log);
     this.peers = peers;
     this.survey = survey;
     this.stageChanges = stageChanges;
@@ -90,13 +96,13 @@
   @Override
   public void onEvent(DispatchEvent event) {
     long now = System.nanoTime();
-    takeNotices(now);
+    applyNotices(now);
     if (event instanceof DispatchEvent.Arrived arrived) {
       onArrived(arrived.exchange(), now);
     } else if (event instanceof DispatchEvent.Prefilled prefilled) {
       onPrefilled(prefilled, now);
-    } else if (event instanceof DispatchEvent.Began began) {
-      if (isPresent(began.exchange(), began.attempt())) {
+    } else if (event instanceof DispatchEvent.AnswerBegan began) {
+      if (isCurrentAttempt(began.exchange(), began.attempt())) {
         log.began(began.exchange(), now);
         runs.onBegan(began.exchange());
         dispatcher.onBegan(began.exchange().progress(), now);
@@ -120,7 +126,7 @@
           .ifPresent(parts -> dispatcher.fleet().onCacheListed(parts, answer.askedAtNanos()));
       survey.onAnswer(answer, now);
       peers.onListed(answer, now);
-      endWaiting(now);
+      startDelayed(now);
     } else if (event instanceof DispatchEvent.RoutingChanged changed) {
       dispatcher.setRouting(changed.image());
       scaling.setServices(changed.image().services());
@@ -153,20 +159,21 @@
     } else if (event instanceof DispatchEvent.PeerMessageReceived heard) {
       heard.message().usage().ifPresent(runs::onTold);
       peers.onHeard(heard.message(), now);
-      endWaiting(now);
+      startDelayed(now);
     }
   }
 
-  private void takeNotices(long now) {
-    takeLeaving(now);
+  private void applyNotices(long now) {
+    applyLeaving(now);
     dispatcher.takeLimitChanges().forEach(log::engineLimit);
   }
 
   /**
-   * Before anything is decided: an engine that has said that it leaves in an answer was used for
-   * another 12 s while the store was away.
+   * Applies notices of leaving engines before any other decision. Without this an engine that had
+   * announced in an answer that it leaves was used for another 12 s while the store was
+   * unreachable.
    */
-  private void takeLeaving(long now) {
+  private void applyLeaving(long now) {
     List<LeavingNotice> found = dispatcher.takeLeaving(now);
     if (!found.isEmpty()) {
       found.forEach(log::engineLeaves);
@@ -179,16 +186,16 @@
 
   private void onArrived(Exchange exchange, long now) {
     active.add(exchange);
-    exchange.watchCaller();
-    if (survey.wantsPatience(now) && hasLongSharedParts(exchange)) {
-      waitingForSurvey.add(exchange);
+    exchange.watchForDisconnect();
+    if (survey.shouldDelayPrompts(now) && hasLongSharedParts(exchange)) {
+      waitingForCacheLists.add(exchange);
     } else {
       start(exchange, now);
     }
   }
 
   private void start(Exchange exchange, long now) {
-    carryOut(exchange, dispatcher.start(exchange.progress(), now), now);
+    execute(exchange, dispatcher.start(exchange.progress(), now), now);
   }
 
   private static boolean hasLongSharedParts(Exchange exchange) {
@@ -199,29 +206,29 @@
         .isPresent();
   }
 
-  /** Places what has waited to know where its shared parts are kept. */
-  private void endWaiting(long now) {
-    if (waitingForSurvey.isEmpty() || survey.wantsPatience(now)) {
+  /** Starts the requests that waited to learn which engines cache their shared prompt parts. */
+  private void startDelayed(long now) {
+    if (waitingForCacheLists.isEmpty() || survey.shouldDelayPrompts(now)) {
       return;
     }
-    List<Exchange> due = List.copyOf(waitingForSurvey);
-    waitingForSurvey.clear();
+    List<Exchange> due = List.copyOf(waitingForCacheLists);
+    waitingForCacheLists.clear();
     due.stream().filter(active::contains).forEach(exchange -> start(exchange, now));
   }
 
   private void onPrefilled(DispatchEvent.Prefilled event, long now) {
     Exchange exchange = event.exchange();
-    if (!isPresent(exchange, event.attempt())) {
+    if (!isCurrentAttempt(exchange, event.attempt())) {
       engines.freeHandle(event.attempt().call().engine(), event.handle());
       return;
     }
     log.prefilled(exchange);
-    carryOut(exchange, dispatcher.onPrefilled(exchange.progress(), event.handle(), now), now);
+    execute(exchange, dispatcher.onPrefilled(exchange.progress(), event.handle(), now), now);
   }
 
   private void onFailed(DispatchEvent.AttemptFailed event, long now) {
     Exchange exchange = event.exchange();
-    if (!isPresent(exchange, event.attempt())) {
+    if (!isCurrentAttempt(exchange, event.attempt())) {
       return;
     }
     log.attemptFailed(exchange, event.attempt(), event.outcome());
@@ -231,10 +238,10 @@
     if (event.outcome().mayHaveReached() && exchange.progress().source().isEmpty()) {
       source.ifPresent(from -> engines.freeHandle(from.engine(), from.handle()));
     }
-    carryOut(exchange, next, now);
+    execute(exchange, next, now);
   }
 
-  private boolean isPresent(Exchange exchange, EngineAttempt attempt) {
+  private boolean isCurrentAttempt(Exchange exchange, EngineAttempt attempt) {
     return active.contains(exchange) && exchange.attempt().filter(a -> a == attempt).isPresent();
   }
 
@@ -252,11 +259,11 @@
     }
     log.callerGone(exchange);
     abandon(exchange, "the caller left", now);
-    exchange.breakOff();
+    exchange.abort();
   }
 
   private void abandon(Exchange exchange, String why, long now) {
-    waitingForRoom.remove(exchange.progress());
+    waitingForEngine.remove(exchange.progress());
     runs.onEnded(exchange, now);
     exchange.attempt().ifPresent(attempt -> attempt.cancel(why));
     boolean running = !exchange.progress().prefilling() && exchange.progress().engine().isPresent();
@@ -266,7 +273,7 @@
     dispatcher.onAbandoned(exchange.progress(), now);
   }
 
-  /** Nobody will fetch the KV cache that waits for the request, if any does. */
+  /** Frees the KV cache that an engine holds for the request, if any: nobody will fetch it. */
   private void freeSource(Exchange exchange) {
     exchange
         .progress()
@@ -274,7 +281,7 @@
         .ifPresent(from -> engines.freeHandle(from.engine(), from.handle()));
   }
 
-  private void carryOut(Exchange exchange, Decision decision, long now) {
+  private void execute(Exchange exchange, Decision decision, long now) {
     log.decided(exchange, decision);
     if (decision instanceof Decision.Prefill prefill) {
       send(
@@ -295,33 +302,33 @@
           run.patience());
     } else if (decision instanceof Decision.Wait) {
       exchange.beginWait(now);
-      waitingForRoom.put(exchange.progress(), exchange);
+      waitingForEngine.put(exchange.progress(), exchange);
     } else if (decision instanceof Decision.Refuse refuse) {
       active.remove(exchange);
       freeSource(exchange);
-      boolean says = refuse.kind() == ErrorKind.QUARANTINED;
-      exchange.refuse(refuse.kind(), refuse.retryAfter(), says ? refuse.reason() : "");
+      boolean withReason = refuse.kind() == ErrorKind.QUARANTINED;
+      exchange.refuse(refuse.kind(), refuse.retryAfter(), withReason ? refuse.reason() : "");
     } else if (decision instanceof Decision.PassFailure) {
       active.remove(exchange);
-      exchange.passFailure(exchange.attempt().orElseThrow(), engines.protocol());
+      exchange.relayEngineFailure(exchange.attempt().orElseThrow(), engines.protocol());
     }
   }
 
-  /** Goes on with what need not wait for an engine any longer, or may not. */
-  private void endWaits(long now) {
+  /** Resumes the requests that need not, or must not, wait for an engine any longer. */
+  private void resumeWaiting(long now) {
     if (stopping.getAsBoolean()) {
-      endWaits(dispatcher.closeWaits(), now);
+      resumeWaiting(dispatcher.closeWaits(), now);
     }
-    endWaits(dispatcher.takeEndedWaits(now), now);
+    resumeWaiting(dispatcher.takeEndedWaits(now), now);
     log.waiting(dispatcher.waitingCount(), dispatcher.waitingBytes());
   }
 
-  private void endWaits(List<Dispatcher.Ended> ended, long now) {
+  private void resumeWaiting(List<Dispatcher.Ended> ended, long now) {
     for (Dispatcher.Ended end : ended) {
-      Exchange exchange = waitingForRoom.remove(end.progress());
+      Exchange exchange = waitingForEngine.remove(end.progress());
       if (exchange != null) {
         log.waited(exchange, now);
-        carryOut(exchange, end.decision(), now);
+        execute(exchange, end.decision(), now);
       }
     }
   }
@@ -340,12 +347,12 @@
         source,
         fetchFrom,
         exchange.envelope().caller(),
-        left(exchange, now),
+        timeLeft(exchange, now),
         urgency,
         exchange.lastEventId());
   }
 
-  private static Duration left(Exchange exchange, long now) {
+  private static Duration timeLeft(Exchange exchange, long now) {
     return Duration.ofNanos(Math.max(0, exchange.envelope().remainingNanos(now)));
   }
 
@@ -356,27 +363,28 @@
   }
 
   /**
-   * Prompts are told at once, so that no other node reads the same parts elsewhere; crashes too, so
-   * that no other node sends on what has crashed engines.
+   * Sends news to the other nodes without waiting for the next tick. Newly placed prompts, so that
+   * no other node has the same parts prefilled on another engine; crashes, so that no other node
+   * sends requests that have crashed engines.
    */
   @Override
   public void onBatchEnd() {
     long now = System.nanoTime();
-    endWaits(now);
+    resumeWaiting(now);
     if (dispatcher.quarantine().takeNews()) {
       peers.tellNow(now);
-      keepQuarantine(now);
+      updateQuarantine(now);
     } else if (dispatcher.fleet().hasNewPrompts()) {
       peers.tell(now);
     }
   }
 
-  private void keepQuarantine(long now) {
-    keeper.keep(now).forEach(content -> takeBackCopies(content, now));
+  private void updateQuarantine(long now) {
+    keeper.keep(now).forEach(content -> withdrawCopies(content, now));
   }
 
-  /** Copies that still run elsewhere would crash their engines too. */
-  private void takeBackCopies(RequestFingerprint content, long now) {
+  /** Cancels running copies of a quarantined request: they would crash their engines too. */
+  private void withdrawCopies(RequestFingerprint content, long now) {
     for (Exchange exchange : Set.copyOf(active)) {
       EngineAttempt attempt = exchange.attempt().orElse(null);
       boolean copy = exchange.progress().content().is(content);
@@ -391,16 +399,16 @@
   @Override
   public void onTick() {
     long now = System.nanoTime();
-    takeNotices(now);
+    applyNotices(now);
     for (Exchange exchange : Set.copyOf(active)) {
       if (exchange.envelope().remainingNanos(now) <= 0) {
-        onTimeOver(exchange, now);
+        onDeadlineExceeded(exchange, now);
       } else {
         checkPatience(exchange, now);
       }
     }
-    endWaiting(now);
-    endWaits(now);
+    startDelayed(now);
+    resumeWaiting(now);
     takeSignsOfLife(now);
     peers.onTick(now);
     runs.onTick(now);
@@ -409,7 +417,7 @@
       dispatcher.onTick(now);
       dispatcher.takeHealthChanges(now).forEach(log::engineHealth);
       dispatcher.takePaceChanges(now).forEach(log::enginePace);
-      keepQuarantine(now);
+      updateQuarantine(now);
     }
     if (now - lastStageNanos >= STAGE_NANOS) {
       lastStageNanos = now;
@@ -425,12 +433,12 @@
 
   @Override
   public void onEnd() {
-    held.giveUp(active);
+    terminator.terminate(active);
   }
 
   @Override
   public void onLateEvent(DispatchEvent event) {
-    held.onLate(event);
+    terminator.onLateEvent(event);
   }
 
   private void takeSignsOfLife(long now) {
@@ -441,7 +449,7 @@
     }
   }
 
-  private void onTimeOver(Exchange exchange, long now) {
+  private void onDeadlineExceeded(Exchange exchange, long now) {
     active.remove(exchange);
     log.timeOver(exchange);
     boolean mayHaveRun = exchange.progress().possibleRuns() > 0;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
@@ -14,27 +14,27 @@
 import org.fallturn.core.stages.StageChange;
 import org.fallturn.core.usage.DutyOutcome;
 
-/** What the dispatch duty is told. */
+/** Event that the dispatch duty handles. */
 sealed interface DispatchEvent {
 
-  /** A request was read whole. */
+  /** A whole request, body included, was read. */
   record Arrived(Exchange exchange) implements DispatchEvent {}
 
-  /** An engine has read the prompt; its KV cache waits under the handle. */
+  /** An engine has prefilled the prompt and holds the KV cache under the handle. */
   record Prefilled(Exchange exchange, EngineAttempt attempt, String handle)
       implements DispatchEvent {}
 
-  /** The first part of the answer was passed on. */
-  record Began(Exchange exchange, EngineAttempt attempt) implements DispatchEvent {}
+  /** The first part of the answer is about to be relayed. */
+  record AnswerBegan(Exchange exchange, EngineAttempt attempt) implements DispatchEvent {}
 
-  /** An attempt ended without a whole, good answer. */
+  /** An attempt ended without a complete, good answer. */
   record AttemptFailed(Exchange exchange, EngineAttempt attempt, AttemptOutcome outcome)
       implements DispatchEvent {}
 
-  /** The answer was passed on whole. */
+  /** The answer was relayed to its end. */
   record Finished(Exchange exchange, EngineAttempt attempt) implements DispatchEvent {}
 
-  /** The caller closed its connection. */
+  /** The caller closed its connection, or the connection failed. */
   record CallerGone(Exchange exchange) implements DispatchEvent {}
 
   /** The list of engines changed. */
@@ -43,43 +43,52 @@
   /** Routes and services changed. */
   record RoutingChanged(RoutingImage image) implements DispatchEvent {}
 
-  /** An engine said which parts it keeps; nothing when it did not answer. */
+  /**
+   * An engine was asked which prompt parts it caches.
+   *
+   * @param engineId id of the engine
+   * @param askedAtNanos when it was asked, in nanoTime
+   * @param parts the cached parts; empty when the engine did not answer
+   */
   record CacheListed(String engineId, long askedAtNanos, Optional<PlacedPrompt> parts)
       implements DispatchEvent {}
 
-  /** An engine is about to be ordered to change its stage. */
+  /** This node is about to order an engine to change its stage. */
   record StageChangeBegun(StageChange change) implements DispatchEvent {}
 
-  /** The order was not given, or the engine refused it. */
+  /** The order to change a stage was not sent, or the engine refused it. */
   record StageChangeAbandoned(StageChange change) implements DispatchEvent {}
 
-  /** This node cannot carry out the duties of the one that leads, though another may. */
+  /** This node cannot carry out the duties of the leader, although another node may. */
   record CannotLead() implements DispatchEvent {}
 
   /** The usage of a window was reported. */
   record UsageReported(long window) implements DispatchEvent {}
 
-  /** How many engines a service had by zone before any was ordered. */
+  /** The number of engines by zone that a service had before any was ordered became known. */
   record BaselineKnown(String service, Map<String, Integer> byZone) implements DispatchEvent {}
 
-  /** An order for engines was answered, or not. */
+  /** An order for engines ended: it was answered, or no answer came. */
   record ScaleOrderAnswered(ScaleOrder order, DutyOutcome outcome) implements DispatchEvent {}
 
-  /** The order was sent and got no answer. */
+  /** An order to change a stage was sent, and no answer came. */
   record StageOrderUnanswered(StageChange change) implements DispatchEvent {}
 
-  /** An engine that seemed to crash does not listen any more, or another has its address. */
+  /**
+   * An engine that seemed to crash is gone: nothing listens at its address, or another engine or a
+   * later incarnation does.
+   */
   record EngineGone(String engineId) implements DispatchEvent {}
 
-  /** The store holds a content in quarantine or under suspicion. */
+  /** A request content in quarantine or under suspicion was read from the store. */
   record QuarantineLoaded(QuarantineStore.Held held) implements DispatchEvent {}
 
-  /** The store has taken a content in quarantine. */
+  /** The store saved a request content in quarantine. */
   record QuarantineStored(RequestFingerprint content) implements DispatchEvent {}
 
-  /** The settings changed. */
+  /** The dispatch settings changed. */
   record ParametersChanged(DispatchParameters parameters) implements DispatchEvent {}
 
-  /** Another node told its load. */
+  /** A message arrived from another node. */
   record PeerMessageReceived(PeerMessage message) implements DispatchEvent {}
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAnswerHead.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAnswerHead.java
@@ -1,24 +1,24 @@
 package org.fallturn.node.gateway;
 
 /**
- * What the gateway needs from the head of an engine's answer.
+ * The parts of an answer's status line and headers that the gateway uses.
  *
  * @param status HTTP status
  * @param notExecuted whether the engine says that it did not run the request
- * @param signed whether it bears the engine's mark of an answer of its own
- * @param requestId the request it belongs to; empty when it does not say
+ * @param stamped whether the answer carries the stamp that engines put on answers of their own
+ * @param requestId id of the request that is answered; empty when the answer does not say
  */
-public record EngineAnswerHead(int status, boolean notExecuted, boolean signed, String requestId) {
+public record EngineAnswerHead(int status, boolean notExecuted, boolean stamped, String requestId) {
 
   private static final int FIRST_SUCCESS = 200;
   private static final int FIRST_REDIRECT = 300;
 
-  /** Whether the status says success. */
+  /** Whether the status is 2xx. */
   public boolean success() {
     return status >= FIRST_SUCCESS && status < FIRST_REDIRECT;
   }
 
-  /** Whether the answer belongs to the request, as far as it says. */
+  /** Whether the answer belongs to the request; true when it names none. */
   public boolean belongsTo(String id) {
     return requestId.isEmpty() || requestId.equals(id);
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
@@ -18,21 +18,22 @@
 
 /**
  * One request to one engine and the relay of its answer. Ends exactly once: by an answer, by a
- * failure, or by {@link #cancel}; whoever wins the state decides, and later news is dropped.
- * Callbacks come on client threads, one at a time; cancel comes on the dispatch thread.
+ * failure, or by {@link #cancel}. Whoever sets the state to ENDED first decides the outcome; later
+ * events are dropped. Jetty calls the listeners on client threads, one at a time; the dispatch
+ * thread calls cancel.
  */
 final class EngineAttempt
     implements Response.HeadersListener, Response.AsyncContentListener, Response.CompleteListener {
 
-  /** Answers up to this size are passed on only once they are whole. */
+  /** Answers that are not streams are relayed whole up to this size, and in parts beyond it. */
   private static final int MAX_WHOLE_ANSWER_BYTES = 256 * 1024;
 
   private enum State {
-    /** Nothing of an answer has been passed on. */
+    /** No part of an answer has been relayed. */
     WAITING,
-    /** The answer's beginning has been passed on. */
+    /** The beginning of the answer has been relayed. */
     RELAYING,
-    /** Over; nothing that still comes counts. */
+    /** Ended; whatever still arrives is ignored. */
     ENDED
   }
 
@@ -41,7 +42,7 @@
   private final EngineProtocol protocol;
   private final AtomicReference<State> state = new AtomicReference<>(State.WAITING);
   private final EventFramer framer = new EventFramer();
-  private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
   private volatile Request request;
   private volatile boolean maybeSent;
   private final AttemptPatience patience;
@@ -50,7 +51,7 @@
   private volatile boolean streamed;
   private volatile boolean signOfLife;
   private boolean cancelled;
-  private boolean told;
+  private boolean beganPosted;
 
   EngineAttempt(
       Exchange exchange, EngineCall call, EngineProtocol protocol, AttemptPatience patience) {
@@ -71,49 +72,50 @@
     toSend.send(this);
   }
 
-  /** Head of the engine's answer, when one came. */
+  /** Head of the engine's answer; null before it has arrived. */
   EngineAnswerHead head() {
     return head;
   }
 
-  /** Headers of the engine's answer, when one came. */
+  /** Headers of the engine's answer; null before they have arrived. */
   HttpFields headers() {
     return headers;
   }
 
-  /** The body so far, of an answer that is passed on only when whole. */
-  byte[] wholeBody() {
-    return whole.toByteArray();
+  /** The body received so far of an answer that is relayed only when complete. */
+  byte[] bufferedBody() {
+    return buffer.toByteArray();
   }
 
-  /** Whether nothing of an answer has come. */
+  /** Whether no part of an answer has been relayed and the attempt has not ended. */
   boolean waiting() {
     return state.get() == State.WAITING;
   }
 
-  /** How long it may go without a sign of an answer. */
+  /** How long the engine may take to show any sign of an answer. */
   AttemptPatience patience() {
     return patience;
   }
 
-  /** Whether any byte may have reached the engine. */
+  /** Whether any byte of the request may have reached the engine. */
   boolean maybeSent() {
     return maybeSent;
   }
 
-  /** Whether it has ended. */
+  /** Whether the attempt has ended. */
   boolean ended() {
     return state.get() == State.ENDED;
   }
 
   /**
-   * Whether it was ended by {@link #cancel}, so that it tells of no end; on the dispatch thread.
+   * Whether {@link #cancel} ended the attempt, so that it posts no event about its end; call on the
+   * dispatch thread.
    */
   boolean cancelled() {
     return cancelled;
   }
 
-  /** Ends it and its connection; false when it had ended already. */
+  /** Ends the attempt and aborts its request; false when it had ended already. */
   boolean cancel(String why) {
     State before = state.getAndSet(State.ENDED);
     if (before == State.ENDED) {
@@ -139,10 +141,10 @@
   }
 
   private boolean goodAnswer() {
-    return !call.prefillOnly() && head.success() && head.signed();
+    return !call.prefillOnly() && head.success() && head.stamped();
   }
 
-  /** Whether anything came from the engine since the last call. */
+  /** Whether any part of an answer body arrived since the last call. */
   boolean takeSignOfLife() {
     boolean since = signOfLife;
     signOfLife = false;
@@ -160,19 +162,19 @@
       relayEvents(chunk.getByteBuffer(), response, demander);
       return;
     }
-    keep(chunk.getByteBuffer(), response, demander);
+    bufferOrRelay(chunk.getByteBuffer(), response, demander);
   }
 
-  private void keep(ByteBuffer bytes, Response response, Runnable demander) {
+  private void bufferOrRelay(ByteBuffer bytes, Response response, Runnable demander) {
     byte[] copy = BufferUtil.toArray(bytes);
     if (state.get() == State.RELAYING) {
       relay(ByteBuffer.wrap(copy), response, demander);
       return;
     }
-    whole.writeBytes(copy);
-    if (whole.size() > MAX_WHOLE_ANSWER_BYTES && goodAnswer()) {
-      ByteBuffer all = ByteBuffer.wrap(whole.toByteArray());
-      whole.reset();
+    buffer.writeBytes(copy);
+    if (buffer.size() > MAX_WHOLE_ANSWER_BYTES && goodAnswer()) {
+      ByteBuffer all = ByteBuffer.wrap(buffer.toByteArray());
+      buffer.reset();
       relay(all, response, demander);
       return;
     }
@@ -193,18 +195,18 @@
       demander.run();
       return;
     }
-    if (!told) {
-      told = true;
-      exchange.tell(new DispatchEvent.Began(exchange, this));
+    if (!beganPosted) {
+      beganPosted = true;
+      exchange.post(new DispatchEvent.AnswerBegan(exchange, this));
     }
-    exchange.beginParts(head.status(), protocol.answerHeaders(headers));
+    exchange.beginStreamedAnswer(head.status(), protocol.answerHeaders(headers));
     exchange.writePart(
         bytes,
         framer.lastEventId(),
         Callback.from(demander::run, failure -> response.abort(failure)));
   }
 
-  /** Whether this attempt gives the answer; once it does, no other may begin one. */
+  /** Whether this attempt may relay its answer; from then on it is the one that answers. */
   private boolean mayRelay() {
     return state.compareAndSet(State.WAITING, State.RELAYING) || state.get() == State.RELAYING;
   }
@@ -223,7 +225,7 @@
       finishRelay(before);
       return;
     }
-    finishWhole();
+    finishBuffered();
   }
 
   private AttemptOutcome outcomeOfFailure(State before, Result result) {
@@ -241,11 +243,11 @@
       fail(before == State.RELAYING ? AttemptOutcome.BROKEN_MIDWAY : AttemptOutcome.LOST);
       return;
     }
-    exchange.beginParts(head.status(), protocol.answerHeaders(headers));
+    exchange.beginStreamedAnswer(head.status(), protocol.answerHeaders(headers));
     exchange.endAnswer(this);
   }
 
-  private void finishWhole() {
+  private void finishBuffered() {
     if (head.status() == HttpStatus.MISDIRECTED_REQUEST_421) {
       fail(AttemptOutcome.MISDIRECTED);
     } else if (head.notExecuted()) {
@@ -253,17 +255,17 @@
     } else if (call.prefillOnly()) {
       finishPrefill();
     } else if (goodAnswer()) {
-      exchange.answerWhole(this, head.status(), protocol.answerHeaders(headers), wholeBody());
+      exchange.answerWhole(this, head.status(), protocol.answerHeaders(headers), bufferedBody());
     } else {
-      fail(isOwnFailure() ? AttemptOutcome.ANSWERED_FAILURE : AttemptOutcome.LOST);
+      fail(isRelayableFailure() ? AttemptOutcome.ANSWERED_FAILURE : AttemptOutcome.LOST);
     }
   }
 
   /**
-   * A failure that may be passed on: not a success that lacks the mark, and not a status that
-   * promises that the request was not run.
+   * Whether the answer is a failure that may be relayed: not a success that lacks the engine's
+   * stamp, and not a status that promises that the request was not run.
    */
-  private boolean isOwnFailure() {
+  private boolean isRelayableFailure() {
     return switch (head.status()) {
       case HttpStatus.TOO_MANY_REQUESTS_429,
           HttpStatus.SERVICE_UNAVAILABLE_503,
@@ -279,14 +281,14 @@
       return;
     }
     try {
-      String handle = protocol.readPrefillHandle(wholeBody());
-      exchange.tell(new DispatchEvent.Prefilled(exchange, this, handle));
+      String handle = protocol.readPrefillHandle(bufferedBody());
+      exchange.post(new DispatchEvent.Prefilled(exchange, this, handle));
     } catch (MalformedMessageException e) {
       fail(AttemptOutcome.LOST);
     }
   }
 
   private void fail(AttemptOutcome outcome) {
-    exchange.tell(new DispatchEvent.AttemptFailed(exchange, this, outcome));
+    exchange.post(new DispatchEvent.AttemptFailed(exchange, this, outcome));
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineCall.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineCall.java
@@ -7,16 +7,17 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * One attempt as it is written to an engine.
+ * What an attempt asks of an engine, to be written as headers.
  *
- * @param engine who is meant; any other engine at its address refuses
- * @param prefillOnly the engine reads the prompt and keeps its KV cache for another engine
- * @param source where the engine fetches the KV cache
- * @param fetchFrom engine whose cached parts of the prompt it copies first
+ * @param engine the engine that is addressed; any other engine at its address refuses the call
+ * @param prefillOnly whether the engine only prefills the prompt and holds the KV cache for another
+ *     engine
+ * @param source engine and handle that the KV cache is fetched from; empty for none
+ * @param fetchFrom engine whose cached parts of the prompt are copied first; empty for none
  * @param caller on whose behalf the request runs
- * @param timeLeft how long the caller waits still
- * @param priority urgency among the engine's requests; 0 is first
- * @param lastEventId the event after which a stream goes on; empty from its beginning
+ * @param timeLeft how much longer the caller waits
+ * @param priority urgency among the requests of the engine; 0 is served first
+ * @param lastEventId event after which a stream continues; empty to stream from the beginning
  */
 public record EngineCall(
     ServingEngine engine,
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineClient.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineClient.java
@@ -35,8 +35,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends requests to engines over kept connections. Bytes of request and answer are not touched: no
- * header of its own, no decoding, no redirects. Thread-safe.
+ * HTTP client for engines, with pooled connections. It leaves requests and answers as they are: it
+ * adds no headers, decodes no content and follows no redirects. Thread-safe.
  */
 final class EngineClient implements CacheSurvey.CacheLister, AutoCloseable {
 
@@ -50,23 +50,23 @@
   private static final int ASSUMED_NODES = 8;
   private static final Duration LIST_TIMEOUT = Duration.ofMillis(1_500);
 
-  /** A report needs no slot, so that one which takes longer comes from an engine that is stuck. */
+  /** An engine reports without waiting for a slot, so one that takes longer is stuck. */
   private static final Duration REPORT_TIMEOUT = Duration.ofMillis(500);
 
-  private static final String TIMER = "engines-timer";
+  private static final String TIMER_THREAD = "engines-timer";
   private static final int MAX_LIST_BYTES = 2 << 20;
   private static final int BUFFER_BYTES = 8 * 1024;
 
   private final HttpClient client;
   private final EngineProtocol protocol;
-  private final NoticeReader reader;
+  private final NoticeReader noticeReader;
   private final Map<String, Integer> connectionsByService = new ConcurrentHashMap<>();
   private final Map<NetworkAddress, String> serviceByAddress = new ConcurrentHashMap<>();
 
   EngineClient(EngineProtocol protocol, EngineNotices notices, DecisionLog log, Executor executor)
       throws Exception {
     this.protocol = protocol;
-    this.reader = new NoticeReader(protocol, notices, log);
+    this.noticeReader = new NoticeReader(protocol, notices, log);
     ClientConnector connector = new PlainClientConnector();
     connector.setSelectors(1);
     connector.setExecutor(executor);
@@ -75,7 +75,7 @@
         destination -> new DuplexConnectionPool(destination, maxConnections(destination)));
     client = new HttpClient(transport);
     client.setExecutor(executor);
-    Scheduler timer = new ScheduledExecutorScheduler(TIMER, true);
+    Scheduler timer = new ScheduledExecutorScheduler(TIMER_THREAD, true);
     client.setScheduler(timer);
     client.setSocketAddressResolver(
         new LiteralAddressResolver(
@@ -95,7 +95,7 @@
     client.getProtocolHandlers().clear();
   }
 
-  /** The client, for calls to other nodes and the store. */
+  /** The underlying HTTP client, also used for calls to other nodes and to the store. */
   HttpClient client() {
     return client;
   }
@@ -104,7 +104,10 @@
     return protocol;
   }
 
-  /** Takes the bounds on connections that services set. */
+  /**
+   * Updates the bounds on connections to an engine. A service sets the bound for the whole fleet,
+   * so a node takes its part for an assumed number of nodes.
+   */
   void setServices(RoutingImage image) {
     image
         .services()
@@ -123,7 +126,7 @@
     return connectionsByService.getOrDefault(service, DEFAULT_CONNECTIONS);
   }
 
-  /** Sends an attempt; its outcome is told to it. */
+  /** Sends the request of an attempt; the attempt receives the outcome. */
   void send(Exchange exchange, EngineAttempt attempt) {
     ServingEngine engine = attempt.call().engine();
     org.eclipse.jetty.server.Request caller = exchange.request();
@@ -141,7 +144,7 @@
     attempt.send(request);
   }
 
-  /** Frees a KV cache that nobody will fetch; best effort, since it lapses by itself. */
+  /** Frees a KV cache that nobody will fetch; best effort, since engines expire it anyway. */
   void freeHandle(ServingEngine engine, String handle) {
     newRequest(engine, HttpMethod.DELETE.asString(), protocol.freeHandlePath(handle))
         .timeout(BUSY_CONNECTION.toMillis(), TimeUnit.MILLISECONDS)
@@ -177,14 +180,14 @@
     }
   }
 
-  /** A call that asks an engine, and no other at its address, what it says of itself. */
+  /** Prepares a call that asks an engine for its report; another engine at its address refuses. */
   Request newReport(ServingEngine engine) {
     return newRequest(engine, HttpMethod.GET.asString(), protocol.reportPath())
         .headers(headers -> headers.add(protocol.addresseeHeaders(engine)))
         .timeout(REPORT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** A call of this node's own to an engine that has not been sent. */
+  /** Prepares a call that this node makes on its own behalf; the caller of this method sends it. */
   Request newRequest(ServingEngine engine, String method, String path) {
     return newRequest(engine, method, path, "");
   }
@@ -198,7 +201,7 @@
             .method(method)
             .path(path)
             .idleTimeout(BUSY_CONNECTION.toMillis(), TimeUnit.MILLISECONDS);
-    reader.watch(request, engine, requestId);
+    noticeReader.watch(request, engine, requestId);
     return request;
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineNotice.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineNotice.java
@@ -7,14 +7,14 @@
 import org.fallturn.core.pace.ServerLoad;
 
 /**
- * What an engine says of itself in the head of an answer, whatever the answer is to.
+ * What an engine says about itself in the headers of an answer to any call.
  *
- * @param leaving whether it is about to end and wants no new requests
- * @param rest for how long it wants nothing from the node that it answers
- * @param perSecond requests a second that it takes from all nodes together
- * @param unlimited whether it surely takes any number: a good answer of its own that names none
- * @param load what it has to do, and how long that takes
- * @param unreadable what stands in the place of a time or a number and is none
+ * @param leaving whether it is about to end and takes no new requests
+ * @param rest how long the node that it answers is to send nothing (Retry-After)
+ * @param perSecond rate limit: requests a second that it takes from all nodes together
+ * @param unlimited whether it certainly has no rate limit: a successful answer that names none
+ * @param load its load and how long the work takes
+ * @param unreadable header values that could not be parsed as a time or number
  */
 public record EngineNotice(
     boolean leaving,
@@ -24,12 +24,12 @@
     Optional<ServerLoad> load,
     List<String> unreadable) {
 
-  /** It says nothing of itself. */
+  /** The notice of an answer that says nothing about its engine. */
   public static final EngineNotice NONE =
       new EngineNotice(
           false, Optional.empty(), OptionalDouble.empty(), false, Optional.empty(), List.of());
 
-  /** A private copy of the list. */
+  /** Copies the list, so that the notice is immutable. */
   public EngineNotice {
     unreadable = List.copyOf(unreadable);
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineProbe.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineProbe.java
@@ -11,9 +11,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Asks an engine whose connection broke whether it still lives. Only a refused connection, or the
- * answer of another engine at its address or of a later start of it, says that it is gone; silence
- * says nothing. Thread-safe.
+ * Probes whether an engine whose connection broke still runs. The engine counts as gone only when
+ * its address refuses connections, or when another engine or a later incarnation of it answers
+ * there; a missing answer proves nothing. Thread-safe.
  */
 final class EngineProbe {
 
@@ -27,7 +27,7 @@
     this.events = events;
   }
 
-  /** Asks; the dispatch duty is told when the engine is gone. */
+  /** Starts a probe; posts {@link DispatchEvent.EngineGone} when the engine is gone. */
   void ask(ServingEngine engine) {
     engines
         .newReport(engine)
@@ -48,13 +48,13 @@
     }
     return switch (result.getResponse().getStatus()) {
       case HttpStatus.MISDIRECTED_REQUEST_421 -> true;
-      case HttpStatus.OK_200 -> hasStartedAgain(engine, body);
+      case HttpStatus.OK_200 -> hasRestarted(engine, body);
       default -> false;
     };
   }
 
-  /** An engine that starts again under its id answers as itself, but for the time of its start. */
-  private boolean hasStartedAgain(ServingEngine engine, byte[] body) {
+  /** An engine that restarted under the same id differs only in its start time. */
+  private boolean hasRestarted(ServingEngine engine, byte[] body) {
     try {
       return engine.isNot(engines.protocol().readReport(body).bornMillis());
     } catch (MalformedMessageException e) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineProtocol.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineProtocol.java
@@ -6,50 +6,53 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.fallturn.node.json.MalformedMessageException;
 
-/** Port: what is spoken with engines. Thread-safe; decides nothing. */
+/**
+ * Port to the headers, paths and bodies that engines use. Implementations are thread-safe and only
+ * translate: they make no decisions.
+ */
 public interface EngineProtocol {
 
-  /** Headers of a request to an engine, made from the caller's and the attempt. */
+  /** Builds the headers of a request to an engine from the caller's headers and the call. */
   HttpFields.Mutable requestHeaders(HttpFields callerHeaders, EngineCall call);
 
-  /** Reads the head of an answer. */
+  /** Parses the head of an answer. */
   EngineAnswerHead readHead(int status, HttpFields headers);
 
-  /** Reads what an engine says of itself in the head of any of its answers. */
+  /** Parses what an engine says about itself in the headers of any of its answers. */
   EngineNotice readNotice(int status, HttpFields headers);
 
-  /** Names of headers in an engine's answer that nobody here has decided about. */
+  /** Names of headers in an engine's answer that this protocol does not know. */
   List<String> unknownHeaders(HttpFields headers);
 
-  /** Headers of an engine's answer that are passed on to the caller. */
+  /** Selects the headers of an engine's answer that are relayed to the caller. */
   HttpFields.Mutable answerHeaders(HttpFields engineHeaders);
 
   /**
-   * Reads the answer of an engine that has read a prompt.
+   * Parses the answer of an engine that has prefilled a prompt.
    *
-   * @return the handle under which the KV cache waits
+   * @return the handle under which the engine holds the KV cache
    */
   String readPrefillHandle(byte[] body) throws MalformedMessageException;
 
-  /** Path of the call (method GET) by which an engine lists the prompt parts it keeps. */
+  /** Path of the call (method GET) that lists the prompt parts that an engine caches. */
   String cacheListPath();
 
-  /** Reads the answer to that call. */
+  /** Parses the answer to the call at {@link #cacheListPath}. */
   List<PromptPart> readCacheList(byte[] body) throws MalformedMessageException;
 
-  /** Path of the call (method GET) by which an engine reports on itself. */
+  /** Path of the call (method GET) that asks an engine for its report. */
   String reportPath();
 
-  /** Reads the answer to that call. */
+  /** Parses the answer to the call at {@link #reportPath}. */
   EngineReport readReport(byte[] body) throws MalformedMessageException;
 
   /** Path of the call (method POST) that gives an engine an order. */
   String orderPath();
 
-  /** Headers of a call that only the engine that is meant may take. */
+  /** Headers that make any other engine at the address refuse the call. */
   HttpFields addresseeHeaders(ServingEngine engine);
 
-  /** Body of an order. */
+  /** Body of the call at {@link #orderPath}. */
   byte[] orderBody(StageOrder order);
 
   /** Path of the call (method DELETE) that frees a KV cache that nobody will fetch. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineReport.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineReport.java
@@ -4,12 +4,12 @@
 import org.fallturn.core.routing.EngineStage;
 
 /**
- * What a model engine says of itself, some hundred ms old.
+ * A model engine's report on itself, which is some hundred ms old when it is read.
  *
- * @param stage its present stage
- * @param busy whether it is carrying out an order
- * @param sequence orders it has taken since its start
- * @param bornMillis the Unix time of its start, where it tells
+ * @param stage its current stage
+ * @param busy whether it is executing an order
+ * @param sequence number of orders that it has accepted since its start
+ * @param bornMillis Unix time of its start in ms; empty when it does not say
  */
 public record EngineReport(
     EngineStage stage, boolean busy, long sequence, OptionalLong bornMillis) {}
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EventFramer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EventFramer.java
@@ -6,8 +6,9 @@
 import java.util.Optional;
 
 /**
- * Cuts a stream of server-sent events at the ends of events, so that only whole events are passed
- * on, and remembers the id of the last one. One answer of one engine; one thread at a time calls.
+ * Splits a stream of server-sent events at event boundaries, so that only whole events are relayed,
+ * and remembers the id of the last event. One instance serves one answer of one engine and is
+ * called by one thread at a time.
  */
 final class EventFramer {
 
@@ -16,7 +17,7 @@
   private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
   private String lastEventId = "";
 
-  /** Adds bytes; returns the whole events that they complete, possibly none. */
+  /** Appends bytes and returns all events that are complete now, possibly none. */
   ByteBuffer add(ByteBuffer bytes) {
     byte[] added = new byte[bytes.remaining()];
     bytes.get(added);
@@ -32,17 +33,17 @@
     return ByteBuffer.wrap(all, 0, end);
   }
 
-  /** Whether bytes of an unfinished event are held. */
+  /** Whether bytes of an incomplete event are buffered. */
   boolean hasPartialEvent() {
     return pending.size() > 0;
   }
 
-  /** Id of the last whole event; empty when none bore one. */
+  /** Id of the last whole event that had one; empty when none did. */
   Optional<String> lastEventId() {
     return lastEventId.isEmpty() ? Optional.empty() : Optional.of(lastEventId);
   }
 
-  /** One past the last blank line. */
+  /** Index after the last blank line; 0 when there is none. */
   private static int endOfWholeEvents(byte[] bytes) {
     for (int index = bytes.length - 1; index > 0; index--) {
       if (bytes[index] != '\n') {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/Exchange.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/Exchange.java
@@ -22,9 +22,10 @@
 import org.fallturn.core.error.ErrorKind;
 
 /**
- * One caller's request from its last byte to the last byte of its answer. The dispatch thread owns
- * its progress and its present attempt; the attempt that has an answer writes it. The caller's
- * request is completed exactly once.
+ * One caller's request and its answer, from the last byte of the request body to the last byte of
+ * the answer. Only the dispatch thread touches the progress and the current attempt; the attempt
+ * that receives an answer writes it, on its client thread. The Jetty callback of the request is
+ * completed exactly once.
  */
 final class Exchange {
 
@@ -38,7 +39,7 @@
   private final GatewayState gateway;
   private final OrderedWriter writer;
   private final AtomicBoolean completed = new AtomicBoolean();
-  private volatile boolean begun;
+  private volatile boolean answerBegun;
   private volatile String lastEventId = "";
   private EngineAttempt attempt;
   private boolean counted;
@@ -82,82 +83,85 @@
     return body;
   }
 
-  /** Id of the last event that was passed on; empty before one that bears an id. */
+  /** Id of the last server-sent event that was relayed; empty while none had an id. */
   Optional<String> lastEventId() {
     return lastEventId.isEmpty() ? Optional.empty() : Optional.of(lastEventId);
   }
 
-  /** The attempt that has the request now; on the dispatch thread. */
+  /** The current attempt, if any; call on the dispatch thread. */
   Optional<EngineAttempt> attempt() {
     return Optional.ofNullable(attempt);
   }
 
-  void setAttempt(EngineAttempt present) {
-    attempt = present;
+  void setAttempt(EngineAttempt current) {
+    attempt = current;
   }
 
-  /** It has no attempt from now on, and waits for an engine; on the dispatch thread. */
+  /** Drops the current attempt and starts waiting for an engine; call on the dispatch thread. */
   void beginWait(long nowNanos) {
     attempt = null;
     waitingSinceNanos = nowNanos;
   }
 
-  /** Since when it waited last; on the dispatch thread. */
+  /** When the last wait for an engine began, in nanoTime; call on the dispatch thread. */
   long waitingSinceNanos() {
     return waitingSinceNanos;
   }
 
-  /** Whether its run is to be counted now: true once; on the dispatch thread. */
+  /** True on the first call only, so that a run is counted once; call on the dispatch thread. */
   boolean countOnce() {
     boolean first = !counted;
     counted = true;
     return first;
   }
 
-  /** Tells the dispatch duty. */
-  void tell(DispatchEvent event) {
+  /** Posts an event to the dispatch duty. */
+  void post(DispatchEvent event) {
     events.accept(event);
   }
 
-  /** Begins to notice that the caller leaves. */
-  void watchCaller() {
+  /** Starts to watch the connection; posts {@link DispatchEvent.CallerGone} when it ends. */
+  void watchForDisconnect() {
     if (endPoint() instanceof WatchedEndPoint watched) {
-      watched.watch(() -> tell(new DispatchEvent.CallerGone(this)));
+      watched.watch(() -> post(new DispatchEvent.CallerGone(this)));
     }
     request.addIdleTimeoutListener(timeout -> false);
-    request.addFailureListener(failure -> tell(new DispatchEvent.CallerGone(this)));
+    request.addFailureListener(failure -> post(new DispatchEvent.CallerGone(this)));
   }
 
   private EndPoint endPoint() {
     return request.getConnectionMetaData().getConnection().getEndPoint();
   }
 
-  /** Whether the answer has ended, or was broken off. */
-  boolean over() {
+  /** Whether the answer has ended or was aborted. */
+  boolean isCompleted() {
     return completed.get();
   }
 
-  /** Whether any of an answer was written; a later engine's answer goes on within it. */
-  boolean begun() {
-    return begun;
+  /**
+   * Whether the head of an answer was written. The answer of a later engine then continues the same
+   * answer.
+   */
+  boolean answerBegun() {
+    return answerBegun;
   }
 
-  /** Writes the head of the answer, unless one was written; later heads are dropped. */
+  /** Writes status and headers of the answer; ignored when they have been written already. */
   void beginAnswer(int status, HttpFields.Mutable headers) {
-    if (begun) {
+    if (answerBegun) {
       return;
     }
-    begun = true;
+    answerBegun = true;
     response.setStatus(status);
     response.getHeaders().add(headers);
     closeWhenStopping();
   }
 
   /**
-   * Begins an answer that is passed on in parts. Its end is marked within the bytes, also where the
-   * connection is to close after it, so that one that breaks off does not look whole.
+   * Begins an answer that is relayed in parts. HTTP/1.1 answers are always chunked, even when the
+   * connection closes afterwards: without the final chunk a truncated answer would look complete.
    */
-  void beginParts(int status, HttpFields.Mutable headers) {
+  void beginStreamedAnswer(int status, HttpFields.Mutable headers) {
     if (request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_1) {
       headers.put(HttpHeader.TRANSFER_ENCODING, HttpHeaderValue.CHUNKED.asString());
     }
@@ -165,9 +169,10 @@
   }
 
   /**
-   * Passes part of the answer on. The callback is failed when the caller has gone.
+   * Relays a part of the answer to the caller. The callback fails when the caller has gone.
    *
-   * @param lastId id of the last event up to the end of this part, if one bore an id
+   * @param lastId id of the last event up to the end of this part, if any had one
+   * @param written completed when the part was written
    */
   void writePart(ByteBuffer bytes, Optional<String> lastId, Callback written) {
     if (completed.get()) {
@@ -178,45 +183,46 @@
     writer.write(false, bytes, written);
   }
 
-  /** Ends an answer that was passed on in parts. */
+  /** Ends an answer that was relayed in parts. */
   void endAnswer(EngineAttempt by) {
     finish(BufferUtil.EMPTY_BUFFER);
-    tell(new DispatchEvent.Finished(this, by));
+    post(new DispatchEvent.Finished(this, by));
   }
 
-  /** Passes a whole answer on. */
+  /** Writes a complete answer in one piece. */
   void answerWhole(EngineAttempt by, int status, HttpFields.Mutable headers, byte[] content) {
     beginAnswer(status, headers);
     finish(ByteBuffer.wrap(content));
-    tell(new DispatchEvent.Finished(this, by));
+    post(new DispatchEvent.Finished(this, by));
   }
 
   /**
-   * Passes on the failure that an engine answered with; on the dispatch thread. Behind the events
-   * of a stream that broke off it would make the stream look whole.
+   * Relays the failure that an engine answered with; call on the dispatch thread. When part of an
+   * answer was written already, aborts instead: the failure would make the truncated stream look
+   * complete.
    */
-  void passFailure(EngineAttempt from, EngineProtocol protocol) {
-    if (begun) {
-      breakOff();
+  void relayEngineFailure(EngineAttempt from, EngineProtocol protocol) {
+    if (answerBegun) {
+      abort();
       return;
     }
     beginAnswer(from.head().status(), protocol.answerHeaders(from.headers()));
-    finish(ByteBuffer.wrap(from.wholeBody()));
+    finish(ByteBuffer.wrap(from.bufferedBody()));
   }
 
-  /** Answers with an error of this node; on the dispatch thread. */
+  /** Answers with an error that this node generates; call on the dispatch thread. */
   void refuse(ErrorKind kind, Optional<Duration> retryAfter) {
     refuse(kind, retryAfter, "");
   }
 
   /**
-   * Answers with an error of this node; on the dispatch thread.
+   * Answers with an error that this node generates; call on the dispatch thread.
    *
-   * @param reason text for whoever reads the answer; empty for none
+   * @param reason plain text body for people; empty for none
    */
   void refuse(ErrorKind kind, Optional<Duration> retryAfter, String reason) {
-    if (begun) {
-      breakOff();
+    if (answerBegun) {
+      abort();
       return;
     }
     HttpFields.Mutable headers = HttpFields.build();
@@ -229,10 +235,11 @@
   }
 
   /**
-   * Ends the connection, so that what was passed on does not look whole. The dispatch duty logs
-   * why; the server would log any other exception with its stack trace.
+   * Closes the connection, so that a truncated answer does not look complete. The callback fails
+   * with an EofException, since Jetty would log any other exception with its stack trace; the
+   * dispatch duty logs the reason.
    */
-  void breakOff() {
+  void abort() {
     if (completed.compareAndSet(false, true)) {
       unwatch();
       endPoint().close();
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/HandlerArguments.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/HandlerArguments.java
@@ -5,10 +5,10 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * What the server hands to a handler for one request.
+ * The three arguments that Jetty passes to a handler for one request.
  *
  * @param request the caller's request
- * @param response its answer
- * @param callback completed once when the answer was written
+ * @param response the answer to it
+ * @param callback to complete once, when the answer has been written
  */
 record HandlerArguments(Request request, Response response, Callback callback) {}
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
@@ -12,22 +12,22 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * Reads from the head of every answer what its engine says of itself, before anything of the answer
- * is passed on, and stops what would be sent to it all the same. Thread-safe.
+ * Reads the notices that engines put in the headers of every answer, before any part of the answer
+ * is relayed, and aborts requests to engines whose notices forbid them. Thread-safe.
  */
 final class NoticeReader {
 
-  /** Engines of which it is remembered what was not readable, so that it is logged once. */
-  private static final int MAX_REFUSED = 1_000;
+  /** Engines for which the last unreadable value is kept, so that it is logged only once. */
+  private static final int MAX_UNREADABLE = 1_000;
 
-  /** Names of unknown headers that are logged; whatever applications send beyond is not. */
+  /** Unknown header names that are logged at most; applications may send any number of them. */
   private static final int MAX_UNKNOWN = 100;
 
   private final EngineProtocol protocol;
   private final EngineNotices notices;
   private final DecisionLog log;
-  private final Map<String, String> refused = new ConcurrentHashMap<>();
-  private final Set<String> unknown = ConcurrentHashMap.newKeySet();
+  private final Map<String, String> lastUnreadable = new ConcurrentHashMap<>();
+  private final Set<String> loggedHeaders = ConcurrentHashMap.newKeySet();
 
   NoticeReader(EngineProtocol protocol, EngineNotices notices, DecisionLog log) {
     this.protocol = protocol;
@@ -36,10 +36,12 @@
   }
 
   /**
-   * Reads the answer to a call, and stops its sending where its engine has said something since the
-   * call was decided.
+   * Watches a call: reads notices from its answer, and aborts it before it is sent when the engine
+   * has said since the decision that it takes no more.
    *
-   * @param requestId of the caller's request; empty for a call of this node's own
+   * @param request the call, not yet sent
+   * @param engine the engine that is called
+   * @param requestId id of the caller's request; empty for a call on this node's own behalf
    */
   void watch(Request request, ServingEngine engine, String requestId) {
     AtomicLong sentNanos = new AtomicLong(System.nanoTime());
@@ -49,23 +51,26 @@
           onBegin(engine, !requestId.isEmpty(), begun);
         });
     request.onResponseHeaders(answer -> onHead(engine, requestId, sentNanos.get(), answer));
-    request.onResponseSuccess(answer -> onWhole(engine, requestId, sentNanos.get(), answer));
+    request.onResponseSuccess(answer -> onComplete(engine, requestId, sentNanos.get(), answer));
   }
 
-  /** An engine that leaves answers calls of this node's own still. */
+  /** A leaving engine takes no requests but still answers this node's own calls. */
   private void onBegin(ServingEngine engine, boolean ofCaller, Request request) {
     long now = System.nanoTime();
-    if (!(ofCaller ? takesRequest(engine, now) : takesCall(engine, now))) {
+    if (!(ofCaller ? tryTakeRequest(engine, now) : tryTakeCall(engine, now))) {
       request.abort(new EngineHeldBackException(engine.id()));
     }
   }
 
-  /** Its limit counts what is sent, not what is decided: others may have taken the room since. */
-  private boolean takesRequest(ServingEngine engine, long now) {
+  /**
+   * Takes a permit from the engine's rate limit. Limits count requests when they are sent, not when
+   * they are decided: other requests may have used up the limit in between.
+   */
+  private boolean tryTakeRequest(ServingEngine engine, long now) {
     return notices.takesRequests(engine.id(), now) && notices.limits().tryTake(engine.id(), now);
   }
 
-  private boolean takesCall(ServingEngine engine, long now) {
+  private boolean tryTakeCall(ServingEngine engine, long now) {
     if (notices.rests(engine.id(), now)) {
       return false;
     }
@@ -74,8 +79,8 @@
   }
 
   /**
-   * An answer to another request, which came late on the same connection, says nothing: who gave it
-   * is not known.
+   * Applies the notice of an answer. Ignores an answer to another request that arrives late on the
+   * same connection, since it is not known which engine gave it.
    */
   private void onHead(ServingEngine engine, String requestId, long sentNanos, Response response) {
     protocol.unknownHeaders(response.getHeaders()).forEach(name -> onUnknown(engine, name));
@@ -85,15 +90,16 @@
     }
     EngineAnswerHead head = protocol.readHead(response.getStatus(), response.getHeaders());
     if (head.belongsTo(requestId)) {
-      take(engine, notice, sentNanos);
+      apply(engine, notice, sentNanos);
     }
   }
 
   /**
-   * The answer is whole. Only now is it known that it names no limit: one that breaks off within
-   * its first bytes may not have come to say so.
+   * Lifts the engine's rate limit when a complete answer names none. An answer that was cut off
+   * within its first bytes may have lost the header, so only complete ones count.
    */
-  private void onWhole(ServingEngine engine, String requestId, long sentNanos, Response response) {
+  private void onComplete(
+      ServingEngine engine, String requestId, long sentNanos, Response response) {
     if (requestId.isEmpty() || !notices.limits().limited(engine.id())) {
       return;
     }
@@ -104,7 +110,7 @@
     }
   }
 
-  private void take(ServingEngine engine, EngineNotice notice, long sentNanos) {
+  private void apply(ServingEngine engine, EngineNotice notice, long sentNanos) {
     long now = System.nanoTime();
     if (notice.leaving()) {
       notices.onLeaving(engine.id(), NoticeSource.ANSWER, now);
@@ -114,22 +120,25 @@
         .perSecond()
         .ifPresent(limit -> notices.limits().onNamed(engine.id(), limit, sentNanos, now));
     notice.load().ifPresent(load -> notices.loadWords().onSaid(engine.id(), load, now));
-    notice.unreadable().forEach(text -> refuse(engine, text));
+    notice.unreadable().forEach(text -> logUnreadable(engine, text));
   }
 
-  /** What engines begin to say must not go unnoticed until it is found to have been a request. */
+  /**
+   * Logs an unknown header once, so that operators notice when engines start to send a new one: it
+   * may ask something of the gateway.
+   */
   private void onUnknown(ServingEngine engine, String name) {
-    if (unknown.size() < MAX_UNKNOWN && unknown.add(name)) {
+    if (loggedHeaders.size() < MAX_UNKNOWN && loggedHeaders.add(name)) {
       log.headerUnknown(engine.id(), name);
     }
   }
 
-  /** An engine may send the same in each of its answers. */
-  private void refuse(ServingEngine engine, String text) {
-    if (refused.size() >= MAX_REFUSED) {
-      refused.clear();
+  /** Logs an unreadable value once, since an engine may repeat it in each answer. */
+  private void logUnreadable(ServingEngine engine, String text) {
+    if (lastUnreadable.size() >= MAX_UNREADABLE) {
+      lastUnreadable.clear();
     }
-    if (!text.equals(refused.put(engine.id(), text))) {
+    if (!text.equals(lastUnreadable.put(engine.id(), text))) {
       log.noticeRefused(engine.id(), text);
     }
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PendingRequestTerminator.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PendingRequestTerminator.java
@@ -8,16 +8,16 @@
 import org.fallturn.core.error.ErrorKind;
 
 /**
- * Answers the requests that a dispatch duty held when it could not go on, instead of letting each
- * wait for its deadline. Asks the dispatcher nothing, whose state is unknown; on the dispatch
- * thread.
+ * Answers the pending requests of a dispatch duty that failed, so that they do not wait for their
+ * deadlines. Never calls the dispatcher, whose state is unknown after the failure. Runs on the
+ * dispatch thread.
  *
- * <p>Invariant: a request is called not run only when no engine can have run it. An answer that is
- * being passed on needs the duty no more and goes on.
+ * <p>Invariant: a request is answered as not run only when no engine can have run it. An answer
+ * that is already being relayed does not need the duty any more and continues.
  */
 final class PendingRequestTerminator {
 
-  /** The caller comes back to another node. */
+  /** Short, since the caller's retry goes to another node. */
   private static final Duration RETRY_AFTER = Duration.ofMillis(300);
 
   private final EngineClient engines;
@@ -28,15 +28,15 @@
     this.log = log;
   }
 
-  /** Gives up all that are held; one that cannot be answered is broken off. */
-  void giveUp(Set<Exchange> active) {
+  /** Terminates all pending requests; aborts those that cannot be answered. */
+  void terminate(Set<Exchange> active) {
     IllegalStateException failed = new IllegalStateException("requests could not be answered");
     for (Exchange exchange : List.copyOf(active)) {
       try {
-        giveUp(exchange);
+        terminate(exchange);
       } catch (Throwable fault) {
         failed.addSuppressed(fault);
-        exchange.breakOff();
+        exchange.abort();
       }
     }
     if (failed.getSuppressed().length > 0) {
@@ -44,10 +44,10 @@
     }
   }
 
-  /** An event that the duty has not handled, or not to its end. */
-  void onLate(DispatchEvent event) {
+  /** Handles an event that the duty did not handle, or failed on. */
+  void onLateEvent(DispatchEvent event) {
     if (event instanceof DispatchEvent.Arrived arrived) {
-      giveUp(arrived.exchange());
+      terminate(arrived.exchange());
     } else if (event instanceof DispatchEvent.Prefilled prefilled) {
       engines.freeHandle(prefilled.attempt().call().engine(), prefilled.handle());
       refuse(prefilled.exchange(), false);
@@ -60,11 +60,11 @@
     } else if (event instanceof DispatchEvent.CallerGone gone) {
       log.callerGone(gone.exchange());
       gone.exchange().attempt().ifPresent(attempt -> attempt.cancel("the caller left"));
-      gone.exchange().breakOff();
+      gone.exchange().abort();
     }
   }
 
-  private void giveUp(Exchange exchange) {
+  private void terminate(Exchange exchange) {
     EngineAttempt attempt = exchange.attempt().orElse(null);
     if (attempt == null) {
       refuse(exchange, false);
@@ -74,17 +74,18 @@
   }
 
   /**
-   * Refuses one.
+   * Refuses a request, as one that may have run unless no attempt can have run it.
    *
-   * @param presentNotRun whether the attempt that was made last has not run for certain
+   * @param exchange the request
+   * @param lastAttemptNotRun whether the last attempt has certainly not run
    */
-  private void refuse(Exchange exchange, boolean presentNotRun) {
-    if (exchange.over()) {
+  private void refuse(Exchange exchange, boolean lastAttemptNotRun) {
+    if (exchange.isCompleted()) {
       return;
     }
     RequestProgress progress = exchange.progress();
     boolean counted = progress.engine().isPresent() && !progress.prefilling();
-    int runs = progress.possibleRuns() - (presentNotRun && counted ? 1 : 0);
+    int runs = progress.possibleRuns() - (lastAttemptNotRun && counted ? 1 : 0);
     ErrorKind kind = runs > 0 ? ErrorKind.OUTCOME_UNKNOWN : ErrorKind.STOPPING;
     log.givenUp(exchange, kind);
     exchange.refuse(kind, kind.hasRetryAfter() ? Optional.of(RETRY_AFTER) : Optional.empty());
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/CacheSurveyTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/CacheSurveyTest.java
@@ -112,7 +112,7 @@
     first.onDirectory(listed(engine("d-2", EngineStage.DECODE)), START);
     first.onTick(after(1));
     assertThat(asked).containsExactly("d-1");
-    assertThat(first.wantsPatience(after(1))).isFalse();
+    assertThat(first.shouldDelayPrompts(after(1))).isFalse();
   }
 
   @Test
@@ -148,14 +148,14 @@
   @Test
   void promptsWaitOnlyAfterTheStartWhileItIsNotKnownWhatEnginesKeep() {
     ServingEngine first = engine("d-1", EngineStage.DECODE);
-    assertThat(survey.wantsPatience(START)).isFalse();
+    assertThat(survey.shouldDelayPrompts(START)).isFalse();
     survey.onDirectory(listed(first), START);
-    assertThat(survey.wantsPatience(START)).isTrue();
-    assertThat(survey.wantsPatience(after(1_000))).isFalse();
+    assertThat(survey.shouldDelayPrompts(START)).isTrue();
+    assertThat(survey.shouldDelayPrompts(after(1_000))).isFalse();
     survey.onTold("d-1", after(10));
-    assertThat(survey.wantsPatience(after(11))).isFalse();
+    assertThat(survey.shouldDelayPrompts(after(11))).isFalse();
     survey.onDirectory(listed(first, engine("d-2", EngineStage.DECODE)), START);
-    assertThat(survey.wantsPatience(after(12))).isFalse();
+    assertThat(survey.shouldDelayPrompts(after(12))).isFalse();
   }
 
   @Test
