--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationRoom.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationRoom.java
@@ -12,10 +12,10 @@
 import org.fallturn.core.membership.RendezvousHash;
 import org.fallturn.core.pace.WorkKind;
 import org.fallturn.core.routing.ServingEngine;
-import org.fallturn.core.waiting.FullMarks;
-import org.fallturn.core.waiting.RoomShare;
-import org.fallturn.core.waiting.WaitingRoom;
-import org.fallturn.core.waiting.WaitingRoom.Waiting;
+import org.fallturn.core.waiting.CapacityShare;
+import org.fallturn.core.waiting.SaturationLimits;
+import org.fallturn.core.waiting.WaitingRequests;
+import org.fallturn.core.waiting.WaitingRequests.Waiting;
 
 /**
  * Says which application requests wait at this node, since the engines of their service have no
@@ -34,9 +34,9 @@
   private static final double FORECAST_MARGIN = 4;
 
   private final EngineSelector selector;
-  private final WaitingRoom<RequestProgress> waiting = new WaitingRoom<>();
-  private final FullMarks marks = new FullMarks();
-  private final Map<String, RoomShare> shares = new HashMap<>();
+  private final WaitingRequests<RequestProgress> waiting = new WaitingRequests<>();
+  private final SaturationLimits marks = new SaturationLimits();
+  private final Map<String, CapacityShare> shares = new HashMap<>();
   private final Map<String, Double> aimsMillis = new HashMap<>();
   private int nodes = 1;
   private boolean closed;
@@ -65,13 +65,13 @@
   }
 
   /** An engine turned a request away that it did not run. */
-  void onTurnedAway(ServingEngine engine, long nowNanos) {
+  void onRejection(ServingEngine engine, long nowNanos) {
     int present = selector.running(engine, nowNanos);
-    marks.onTurnedAway(engine.id(), present, engine.slots(), nowNanos);
+    marks.onRejection(engine.id(), present, engine.slots(), nowNanos);
   }
 
   /** What waits. */
-  WaitingRoom<RequestProgress> waiting() {
+  WaitingRequests<RequestProgress> waiting() {
     return waiting;
   }
 
@@ -101,7 +101,7 @@
     Room room = room(service, engines, nowNanos);
     long renewNanos = (long) (selector.renewMillis(nowNanos) * NANOS_PER_MILLI);
     return shares
-        .computeIfAbsent(service, name -> new RoomShare())
+        .computeIfAbsent(service, name -> new CapacityShare())
         .take(
             room.free(),
             room.most(),
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheFetch.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/CacheCopyTime.java
@@ -8,14 +8,14 @@
  * What it takes to copy cached parts of a prompt from one engine to another instead of reading them
  * again. Pure.
  */
-final class CacheFetch {
+final class CacheCopyTime {
 
   private static final double MEGABITS_PER_BYTE = 8e-6;
   private static final double MILLIS_PER_SECOND = 1_000;
   private static final double SETUP_MILLIS = 6;
   private static final int OTHER_ZONE_FACTOR = 2;
 
-  private CacheFetch() {}
+  private CacheCopyTime() {}
 
   /** Time in ms to move so many tokens within a zone, without its setup. */
   static double moveMillis(long tokens, Optional<EngineProfile> profile) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -39,10 +39,10 @@
   private final EngineSelector selector;
   private final PromptPlacement prompts;
   private final StageControl stages;
-  private final EngineSilence silence;
+  private final SilenceDetector silence;
   private final Patience patience = new Patience();
-  private final ReadingSpeeds speeds;
-  private final PaceFeed pace;
+  private final PrefillSpeeds speeds;
+  private final PaceObserver pace;
   private final FleetView fleet;
   private final ServiceSplit split = new ServiceSplit();
   private final RetryRules retries;
@@ -61,14 +61,14 @@
     this.quarantine = new Quarantine(parameters.node());
     long lastResortNanos = parameters.lastResort().toNanos();
     this.notices = new EngineNotices(parameters.node(), lastResortNanos);
-    this.speeds = new ReadingSpeeds(() -> this.parameters.prefillTokensPerMilli());
-    this.pace = new PaceFeed(peerLoads, speeds::of, parameters.learnsPace());
+    this.speeds = new PrefillSpeeds(() -> this.parameters.prefillTokensPerMilli());
+    this.pace = new PaceObserver(peerLoads, speeds::of, parameters.learnsPace());
     this.selector =
         new EngineSelector(parameters.zone(), peerLoads, notices, pace.pace(), lastResortNanos);
     this.room = new ApplicationRoom(selector);
     this.fleet = new FleetView(selector, peerLoads, notices, speeds, pace, this::cacheTokens);
     this.prompts = new PromptPlacement(selector, parameters.zone());
-    this.silence = new EngineSilence(selector, peerLoads, speeds::of, this::profile);
+    this.silence = new SilenceDetector(selector, peerLoads, speeds::of, this::profile);
     this.stages =
         new StageControl(selector, peerLoads, speeds::of, parameters.node(), parameters.stages());
   }
@@ -104,7 +104,7 @@
    * while its service has another.
    */
   public List<LeavingNotice> takeLeaving(long nowNanos) {
-    List<LeavingNotice> found = notices.takeFound();
+    List<LeavingNotice> found = notices.takePending();
     if (!found.isEmpty()) {
       selector.setDirectory(directory(), nowNanos);
     }
@@ -113,7 +113,7 @@
 
   /** Limits of engines that were named, changed or ended since the last call. */
   public List<LimitChange> takeLimitChanges() {
-    return notices.limits().takeFound();
+    return notices.limits().takePending();
   }
 
   /** Takes a newer set of services. */
@@ -159,7 +159,7 @@
 
   /** Suspends engines that have gone silent; called several times a second. */
   public void onTick(long nowNanos) {
-    notices.loadWords().takeAll(pace::onSaid);
+    notices.reportedLoads().takeAll(pace::onLoadReported);
     pace.onTick(nowNanos);
     silence.check(nowNanos);
     quarantine.onTick(this::lastHeard, nowNanos);
@@ -171,7 +171,7 @@
     if (own == null || own.heardNanos().isEmpty()) {
       return others;
     }
-    return OptionalLong.of(own.lastSign(own.heardNanos().getAsLong(), others));
+    return OptionalLong.of(own.lastSignOfLifeNanos(own.heardNanos().getAsLong(), others));
   }
 
   /**
@@ -232,7 +232,7 @@
     fleet.setNodeCount(count);
     retries.setNodeCount(count);
     room.setNodeCount(count);
-    silence.setOthersKnown(count.isPresent());
+    silence.setPeersKnown(count.isPresent());
   }
 
   /** First decision for a request. */
@@ -254,7 +254,7 @@
             (nowNanos - progress.sentNanos()) / NANOS_PER_MILLI);
     pace.onDone(progress, nowNanos);
     load.onSignOfLife(progress, nowNanos);
-    load.health().onGood(nowNanos);
+    load.health().onSuccess(nowNanos);
     load.promptRead(progress);
     release(progress, false);
     progress.keepSource(new CacheSource(engine, handle));
@@ -300,7 +300,7 @@
       RequestProgress progress, ServingEngine engine, AttemptOutcome outcome, long nowNanos) {
     selector.load(engine).health().onFailure(outcome, nowNanos);
     if (outcome == AttemptOutcome.NOT_EXECUTED && progress.envelope().prompt().isEmpty()) {
-      room.onTurnedAway(engine, nowNanos);
+      room.onRejection(engine, nowNanos);
     }
     if (outcome.mayBeCrash()) {
       quarantine.onCrash(progress.content(), engine.id(), nowNanos);
@@ -328,11 +328,11 @@
         .map(selector::load)
         .ifPresent(
             load -> {
-              load.health().onGood(nowNanos);
+              load.health().onSuccess(nowNanos);
               load.onAnswered(progress);
             });
     observeStay(progress, nowNanos);
-    quarantine.onGood(progress.content(), nowNanos);
+    quarantine.onSuccess(progress.content(), nowNanos);
     release(progress, true);
   }
 
@@ -420,7 +420,7 @@
 
   private Decision placeByCost(RequestProgress progress, boolean mayPrefill, long nowNanos) {
     selector.onAsked(progress.service(), nowNanos);
-    notices.loadWords().takeAll(pace::onSaid);
+    notices.reportedLoads().takeAll(pace::onLoadReported);
     if (progress.envelope().prompt().isEmpty()) {
       return placeApplication(progress, nowNanos);
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineDigest.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.fallturn.core.limits.LimitDigest;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 
 /**
  * What one node, or a group of nodes together, has at one engine. Immutable.
@@ -28,7 +28,7 @@
     int heardAgoMillis,
     int leaving,
     LimitDigest limit,
-    PaceWord pace) {
+    RecentPace pace) {
 
   /** Nobody had a sign of life from the engine. */
   public static final int NOT_HEARD = -1;
@@ -50,7 +50,7 @@
         heardAgoMillis,
         0,
         LimitDigest.NONE,
-        PaceWord.NONE);
+        RecentPace.NONE);
   }
 
   /** The same, said by so many nodes that know that it leaves. */
@@ -66,7 +66,7 @@
   }
 
   /** The same, with what is told of its pace. */
-  public EngineDigest withPace(PaceWord told) {
+  public EngineDigest withPace(RecentPace told) {
     return new EngineDigest(
         running,
         streams,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineHealth.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineHealth.java
@@ -59,7 +59,7 @@
   }
 
   /** Another node had a sign of life, which ends a suspension for silence that began before. */
-  void onSignToOthers(long heardNanos) {
+  void onPeerSignOfLife(long heardNanos) {
     if (suspended && silent && heardNanos - suspendedAtNanos > 0) {
       onSignOfLife();
     }
@@ -87,7 +87,7 @@
     }
   }
 
-  void onGood(long nowNanos) {
+  void onSuccess(long nowNanos) {
     onSignOfLife();
     countAttempt(0, nowNanos);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
@@ -75,13 +75,13 @@
   }
 
   /** Other nodes tell what they know. */
-  void onTold(String engineId, LimitWord word, long nowNanos) {
+  void onPeerReport(String engineId, LimitWord word, long nowNanos) {
     if (!word.named() && !engines.containsKey(engineId)) {
       return;
     }
     Limited engine = engines.computeIfAbsent(engineId, id -> new Limited());
     synchronized (engine) {
-      boolean changed = engine.limit.onTold(word, nowNanos);
+      boolean changed = engine.limit.onPeerReport(word, nowNanos);
       takeChange(engineId, engine, changed, NoticeSource.PEER);
     }
   }
@@ -98,7 +98,7 @@
   }
 
   /** What changed since the last call. */
-  List<LimitChange> takeFound() {
+  List<LimitChange> takePending() {
     List<LimitChange> taken = new ArrayList<>();
     for (LimitChange next = found.poll(); next != null; next = found.poll()) {
       taken.add(next);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
@@ -104,7 +104,7 @@
   }
 
   /** The last sign of life to this node or another, or the beginning where none came since. */
-  long lastSign(long beginNanos, OptionalLong peersHeardNanos) {
+  long lastSignOfLifeNanos(long beginNanos, OptionalLong peersHeardNanos) {
     return later(later(beginNanos, heardNanos()), peersHeardNanos);
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
@@ -32,7 +32,7 @@
   private final Map<String, Long> leavingSince = new ConcurrentHashMap<>();
   private final Map<String, Long> restEnds = new ConcurrentHashMap<>();
   private final EngineLimits limits;
-  private final LoadWords loadWords = new LoadWords();
+  private final ReportedLoads reportedLoads = new ReportedLoads();
   private final Queue<LeavingNotice> found = new ConcurrentLinkedQueue<>();
 
   /**
@@ -53,8 +53,8 @@
   }
 
   /** What engines say of their load. */
-  public LoadWords loadWords() {
-    return loadWords;
+  public ReportedLoads reportedLoads() {
+    return reportedLoads;
   }
 
   /** An engine is found to leave; nothing changes where that is known. */
@@ -65,7 +65,7 @@
   }
 
   /** Engines that were found to leave since the last call. */
-  List<LeavingNotice> takeFound() {
+  List<LeavingNotice> takePending() {
     List<LeavingNotice> taken = new ArrayList<>();
     for (LeavingNotice next = found.poll(); next != null; next = found.poll()) {
       taken.add(next);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -21,9 +21,9 @@
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineStage;
 import org.fallturn.core.routing.ServingEngine;
-import org.fallturn.core.waiting.EvenFill;
-import org.fallturn.core.waiting.StayLengths;
+import org.fallturn.core.waiting.ResponseTimes;
 import org.fallturn.core.waiting.WaitingParameters;
+import org.fallturn.core.waiting.WaterFilling;
 
 /**
  * Picks engines by cost: load as this node and its peers count it, health from outcomes, distance,
@@ -42,13 +42,13 @@
 
   private final String zone;
   private final Map<String, EngineLoad> loads = new HashMap<>();
-  private final CachedParts cachedParts = new CachedParts();
+  private final PrefixCacheEstimates cachedParts = new PrefixCacheEstimates();
   private final Map<String, PromptSizes> sizes = new HashMap<>();
   private final PeerLoads peerLoads;
   private final EngineNotices notices;
   private final EnginePace pace;
-  private final Departures departures;
-  private final StayLengths stays = new StayLengths();
+  private final RecentDepartures departures;
+  private final ResponseTimes stays = new ResponseTimes();
   private final ChangingEngines changing = new ChangingEngines();
   private EngineDirectory directory = EngineDirectory.empty();
 
@@ -69,7 +69,7 @@
     this.peerLoads = peerLoads;
     this.notices = notices;
     this.pace = pace;
-    this.departures = new Departures(lastResortNanos);
+    this.departures = new RecentDepartures(lastResortNanos);
   }
 
   /** Takes a new list; loads of engines that are gone stay until their requests have ended. */
@@ -183,7 +183,7 @@
     return loads;
   }
 
-  CachedParts cachedParts() {
+  PrefixCacheEstimates cachedParts() {
     return cachedParts;
   }
 
@@ -253,11 +253,11 @@
   }
 
   /** Who keeps some of a prompt now and can be copied from. */
-  PartHolders holders(RequestProgress progress, PromptShape prompt, long nowNanos) {
+  PrefixHolders holders(RequestProgress progress, PromptShape prompt, long nowNanos) {
     if (progress.source().isPresent() || prompt.sharedTokens() < MIN_COPIED_TOKENS) {
-      return PartHolders.none();
+      return PrefixHolders.none();
     }
-    List<PartHolders.Holder> holders = new ArrayList<>();
+    List<PrefixHolders.Holder> holders = new ArrayList<>();
     int soonTokens = 0;
     for (ServingEngine engine : directory.ofService(progress.service())) {
       if (!engine.leaving()) {
@@ -266,15 +266,15 @@
       }
       int tokens = cachedParts.readyTokens(engine.id(), prompt.parts(), nowNanos);
       if (tokens > 0 && usableSource(engine, nowNanos)) {
-        holders.add(new PartHolders.Holder(engine, tokens));
+        holders.add(new PrefixHolders.Holder(engine, tokens));
       }
     }
-    return PartHolders.of(holders, soonTokens);
+    return PrefixHolders.of(holders, soonTokens);
   }
 
   /** Whether this node or several others have suspended the engine. */
   boolean suspected(ServingEngine engine, long nowNanos) {
-    return load(engine).health().suspended() || peerLoads.suspects(engine.id(), nowNanos);
+    return load(engine).health().suspended() || peerLoads.suspectedByPeers(engine.id(), nowNanos);
   }
 
   private boolean usableSource(ServingEngine holder, long nowNanos) {
@@ -296,7 +296,7 @@
   }
 
   /** Of how long application requests stay at the engines; whoever sees them end tells it. */
-  StayLengths stays() {
+  ResponseTimes stays() {
     return stays;
   }
 
@@ -311,22 +311,22 @@
       List<ServingEngine> engines,
       WaitingParameters waiting,
       long nowNanos) {
-    List<EvenFill.Vessel> vessels =
+    List<WaterFilling.EngineFill> vessels =
         engines.stream().map(engine -> vessel(engine, nowNanos)).toList();
     int ofPeers = engines.stream().mapToInt(e -> peerLoads.running(e.id(), nowNanos)).sum();
     double lag = Math.max(HALF_TURN_MILLIS, lagMillis(nowNanos));
-    double unseen = waiting.evenFill() ? stays.sentWithin(progress.service(), ofPeers, lag) : 0;
+    double unseen = waiting.evenFill() ? stays.arrivalsWithin(progress.service(), ofPeers, lag) : 0;
     double draw = RendezvousHash.draw(progress.envelope().requestId(), progress.service());
-    return engines.get(EvenFill.choose(vessels, unseen, draw));
+    return engines.get(WaterFilling.choose(vessels, unseen, draw));
   }
 
-  private EvenFill.Vessel vessel(ServingEngine engine, long nowNanos) {
+  private WaterFilling.EngineFill vessel(ServingEngine engine, long nowNanos) {
     double capacity =
         Math.max(1, engine.slots()) / slowness(engine, WorkKind.APPLICATION, nowNanos);
     double besides =
         FAILURE_RUN_COST * load(engine).health().failureShare(nowNanos)
             + (engine.zone().equals(zone) ? 0 : OTHER_ZONE_RUN_COST);
-    return new EvenFill.Vessel(running(engine, nowNanos) / capacity + besides, capacity);
+    return new WaterFilling.EngineFill(running(engine, nowNanos) / capacity + besides, capacity);
   }
 
   private static boolean prefills(ServingEngine engine) {
@@ -401,7 +401,7 @@
 
   private boolean healthy(ServingEngine engine, long nowNanos) {
     return load(engine).health().usable(nowNanos)
-        && !peerLoads.suspects(engine.id(), nowNanos)
+        && !peerLoads.suspectedByPeers(engine.id(), nowNanos)
         && changingTo(engine, nowNanos) == EngineStage.NONE;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
@@ -23,9 +23,9 @@
   private final EngineSelector selector;
   private final PeerLoads peerLoads;
   private final EngineNotices notices;
-  private final ReadingSpeeds speeds;
+  private final PrefillSpeeds speeds;
   private final ToLongFunction<String> cacheTokens;
-  private final OwnDigests ownDigests;
+  private final LocalDigests ownDigests;
   private final List<PlacedPrompt> newPrompts = new ArrayList<>();
   private EngineDirectory listed = EngineDirectory.empty();
   private OptionalInt nodeCount = OptionalInt.empty();
@@ -39,15 +39,15 @@
       EngineSelector selector,
       PeerLoads peerLoads,
       EngineNotices notices,
-      ReadingSpeeds speeds,
-      PaceFeed pace,
+      PrefillSpeeds speeds,
+      PaceObserver pace,
       ToLongFunction<String> cacheTokens) {
     this.selector = selector;
     this.peerLoads = peerLoads;
     this.notices = notices;
     this.speeds = speeds;
     this.cacheTokens = cacheTokens;
-    this.ownDigests = new OwnDigests(selector, notices, pace);
+    this.ownDigests = new LocalDigests(selector, notices, pace);
   }
 
   /** Takes the engines as their entries tell them. */
@@ -61,18 +61,18 @@
   }
 
   /** Takes what another node says of engines, of prompts that were placed, and of speeds. */
-  public void onTold(LoadDigest digest, long nowNanos) {
+  public void onPeerReport(LoadDigest digest, long nowNanos) {
     digest.prompts().forEach(prompt -> record(prompt, nowNanos));
-    digest.speeds().forEach((service, learned) -> speeds.of(service).onTold(learned));
-    digest.engines().forEach((id, engine) -> onTold(id, engine, nowNanos));
+    digest.speeds().forEach((service, learned) -> speeds.of(service).onPeerReport(learned));
+    digest.engines().forEach((id, engine) -> onPeerReport(id, engine, nowNanos));
     shareLimits(nowNanos);
   }
 
-  private void onTold(String engineId, EngineDigest engine, long nowNanos) {
+  private void onPeerReport(String engineId, EngineDigest engine, long nowNanos) {
     if (engine.leaving() > 0) {
       notices.onLeaving(engineId, NoticeSource.PEER, nowNanos);
     }
-    notices.limits().onTold(engineId, engine.limit().word(), nowNanos);
+    notices.limits().onPeerReport(engineId, engine.limit().word(), nowNanos);
   }
 
   private void shareLimits(long nowNanos) {
@@ -118,12 +118,12 @@
    *
    * @param askedAtNanos when it was asked
    */
-  public void onCacheListed(PlacedPrompt kept, long askedAtNanos) {
+  public void onEngineCacheListing(PlacedPrompt kept, long askedAtNanos) {
     selector.cachedParts().replace(kept.engineId(), kept.parts(), 0, askedAtNanos);
   }
 
   /** Takes what an engine told another node that it keeps. */
-  public void onCacheTold(CacheListing listing, long nowNanos) {
+  public void onPeerCacheListing(CacheListing listing, long nowNanos) {
     long askedAt = nowNanos - TimeUnit.MILLISECONDS.toNanos(listing.ageMillis());
     selector
         .cachedParts()
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/OwnDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -10,16 +10,16 @@
  * What this node tells the others of each engine: what it has there, and what it knows of the
  * engine that they may not know yet. One thread calls.
  */
-final class OwnDigests {
+final class LocalDigests {
 
   /** Of a sign of life, others are told this long: two turns of 100 ms, as one may be lost. */
   private static final long TOLD_SIGN_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
 
   private final EngineSelector selector;
   private final EngineNotices notices;
-  private final PaceFeed pace;
+  private final PaceObserver pace;
 
-  OwnDigests(EngineSelector selector, EngineNotices notices, PaceFeed pace) {
+  LocalDigests(EngineSelector selector, EngineNotices notices, PaceObserver pace) {
     this.selector = selector;
     this.notices = notices;
     this.pace = pace;
@@ -66,8 +66,8 @@
         || load.health().warnsOthers(nowNanos)
         || selector.changes(id)
         || leavesUnlisted(id, listed)
-        || !notices.limits().digest(id, nowNanos).saysNothing()
-        || !pace.lately(id, nowNanos).saysNothing();
+        || !notices.limits().digest(id, nowNanos).isNegligible()
+        || !pace.lately(id, nowNanos).isNegligible();
   }
 
   /** Whether an engine leaves without saying so in its entry: others may not know it yet. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceFeed.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 import java.util.function.Function;
 import org.fallturn.core.pace.EnginePace;
-import org.fallturn.core.pace.LearnedPace;
 import org.fallturn.core.pace.PaceChange;
+import org.fallturn.core.pace.PaceEstimator;
 import org.fallturn.core.pace.PaceForecast;
 import org.fallturn.core.pace.PaceSample;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.pace.ServerLoad;
 import org.fallturn.core.pace.WorkKind;
 import org.fallturn.core.routing.EngineDirectory;
@@ -21,7 +21,7 @@
  * what was known when they were sent. Counted from when they were sent and with what was ahead, so
  * that an engine is not held to be slow for what waited there. One thread calls.
  */
-final class PaceFeed {
+final class PaceObserver {
 
   private static final double NANOS_PER_MILLI = 1e6;
   private static final double PERCENT = 100;
@@ -29,8 +29,8 @@
   /** Shorter prompts take as long as the ways and the steps, and are compared with each other. */
   private static final int SHORT_TOKENS = 1_000;
 
-  private final LearnedPace learned;
-  private final Function<String, ReadingSpeed> speeds;
+  private final PaceEstimator learned;
+  private final Function<String, PrefillSpeed> speeds;
   private final boolean enabled;
   private final Map<String, WorkKind> kinds = new HashMap<>();
 
@@ -39,15 +39,15 @@
    *
    * @param enabled whether anything is learned, told and gone by
    */
-  PaceFeed(PeerLoads peerLoads, Function<String, ReadingSpeed> speeds, boolean enabled) {
-    this.learned = new LearnedPace(peerLoads::pace);
+  PaceObserver(PeerLoads peerLoads, Function<String, PrefillSpeed> speeds, boolean enabled) {
+    this.learned = new PaceEstimator(peerLoads::pace);
     this.speeds = speeds;
     this.enabled = enabled;
   }
 
   /** What decisions go by. */
   EnginePace pace() {
-    return enabled ? learned : EnginePace.EVEN;
+    return enabled ? learned : EnginePace.UNIFORM;
   }
 
   /** Takes the listed engines; what was learned of others is dropped. */
@@ -69,18 +69,18 @@
   }
 
   /** Takes what a listed engine says of itself. */
-  void onSaid(String engineId, ServerLoad load, long saidNanos) {
+  void onLoadReported(String engineId, ServerLoad load, long saidNanos) {
     if (enabled && kinds.containsKey(engineId) && load.pacePercent().isPresent()) {
-      learned.onOwnWord(engineId, load.pacePercent().getAsInt() / PERCENT, saidNanos);
+      learned.onReportedPace(engineId, load.pacePercent().getAsInt() / PERCENT, saidNanos);
     }
   }
 
   /** What this node's requests say of an engine, for the other nodes. */
-  PaceWord lately(String engineId, long nowNanos) {
+  RecentPace lately(String engineId, long nowNanos) {
     WorkKind kind = kinds.get(engineId);
     return !enabled || kind == null
-        ? PaceWord.NONE
-        : learned.lately(engineId, kind, nowNanos).worthTelling();
+        ? RecentPace.NONE
+        : learned.lately(engineId, kind, nowNanos).dropIfNegligible();
   }
 
   /** Engines whose state has changed since the last call. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
@@ -12,7 +12,7 @@
 import org.fallturn.core.limits.BudgetDigest;
 import org.fallturn.core.limits.LimitDigest;
 import org.fallturn.core.limits.SharedBudget;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 
 /**
  * What the other nodes last said they have at each engine. A node that has said nothing for a while
@@ -125,7 +125,7 @@
   }
 
   /** Whether several other nodes have suspended the engine. */
-  boolean suspects(String engineId, long nowNanos) {
+  boolean suspectedByPeers(String engineId, long nowNanos) {
     return sum(engineId, nowNanos).suspecting >= SUSPECTING_NODES;
   }
 
@@ -135,13 +135,13 @@
   }
 
   /** Whether no other node that may order stages, and was heard of lately, goes before this one. */
-  boolean isFirst(String node, long nowNanos) {
+  boolean isFirstByName(String node, long nowNanos) {
     return counted(nowNanos).stream()
         .allMatch(heard -> first(node, heard.digest.firstNode()).equals(node));
   }
 
   /** Whether no other node that was heard of lately may order stages. */
-  boolean nobodyMayOrder(long nowNanos) {
+  boolean noPeerMayOrder(long nowNanos) {
     return counted(nowNanos).stream().allMatch(heard -> heard.digest.firstNode().isEmpty());
   }
 
@@ -170,7 +170,7 @@
   }
 
   /** What the other nodes' work at an engine lately says of its pace. */
-  PaceWord pace(String engineId, long nowNanos) {
+  RecentPace pace(String engineId, long nowNanos) {
     Sum sum = sum(engineId, nowNanos);
     return sum.pace.aged(nowNanos - sumsAtNanos);
   }
@@ -202,7 +202,7 @@
    * speak to each other, since prompts are told at once.
    */
   double lagMillis(long nowNanos) {
-    if (viewHeardWithin(VIEW_LIFETIME_NANOS, nowNanos)) {
+    if (viewReceivedWithin(VIEW_LIFETIME_NANOS, nowNanos)) {
       return LAG_THROUGH_RELAYS_MILLIS;
     }
     return 0;
@@ -219,13 +219,13 @@
   }
 
   /** Whether a view of the fleet came within a time. */
-  public boolean viewHeardWithin(long nanos, long nowNanos) {
+  public boolean viewReceivedWithin(long nanos, long nowNanos) {
     return heardByNode.values().stream()
         .anyMatch(heard -> heard.source == Source.VIEW && nowNanos - heard.atNanos < nanos);
   }
 
   /** Where messages of a kind came from lately. */
-  public List<NetworkAddress> speakers(Source source, long nowNanos) {
+  public List<NetworkAddress> senders(Source source, long nowNanos) {
     return fresh(source, nowNanos).map(heard -> heard.speaker).toList();
   }
 
@@ -320,7 +320,7 @@
   }
 
   private List<Heard> counted(long nowNanos) {
-    boolean viewKnown = viewHeardWithin(VIEW_LIFETIME_NANOS, nowNanos);
+    boolean viewKnown = viewReceivedWithin(VIEW_LIFETIME_NANOS, nowNanos);
     List<Heard> counted = new ArrayList<>();
     for (Heard heard : heardByNode.values()) {
       if (heard.fresh(nowNanos) && heard.source.counts(viewKnown)) {
@@ -347,7 +347,7 @@
     private int changing;
     private int leaving;
     private LimitDigest limit = LimitDigest.NONE;
-    private PaceWord pace = PaceWord.NONE;
+    private RecentPace pace = RecentPace.NONE;
     private boolean heard;
     private long heardNanos;
 
@@ -385,7 +385,7 @@
           heardAgo,
           leaving,
           limit,
-          pace.worthTelling());
+          pace.dropIfNegligible());
     }
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ReadingSpeed.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeed.java
@@ -9,7 +9,7 @@
  * smoothed, and those that seem slow least, since a prompt may have waited unknown to this node. A
  * node that has learned nothing yet takes what another node learned. One thread calls.
  */
-final class ReadingSpeed {
+final class PrefillSpeed {
 
   /**
    * Weights of an observation once there are many. Nothing makes reading seem faster than it is,
@@ -38,7 +38,7 @@
   private int samples;
   private boolean told;
 
-  ReadingSpeed(double assumedTokensPerMilli) {
+  PrefillSpeed(double assumedTokensPerMilli) {
     this.tokensPerMilli = assumedTokensPerMilli;
   }
 
@@ -75,7 +75,7 @@
   }
 
   /** Takes what another node has learned, unless this node has seen or heard enough. */
-  void onTold(LearnedSpeed learned) {
+  void onPeerReport(LearnedSpeed learned) {
     if (isKnown() || learned.tokenMillis() <= 0) {
       return;
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ReadingSpeeds.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeeds.java
@@ -5,23 +5,23 @@
 import java.util.function.DoubleSupplier;
 
 /** How fast the engines of each service read. One thread calls. */
-final class ReadingSpeeds {
+final class PrefillSpeeds {
 
   private final DoubleSupplier assumedTokensPerMilli;
-  private final Map<String, ReadingSpeed> byService = new HashMap<>();
+  private final Map<String, PrefillSpeed> byService = new HashMap<>();
 
   /**
    * Nothing is learned yet.
    *
    * @param assumedTokensPerMilli what a service begins with
    */
-  ReadingSpeeds(DoubleSupplier assumedTokensPerMilli) {
+  PrefillSpeeds(DoubleSupplier assumedTokensPerMilli) {
     this.assumedTokensPerMilli = assumedTokensPerMilli;
   }
 
-  ReadingSpeed of(String service) {
+  PrefillSpeed of(String service) {
     return byService.computeIfAbsent(
-        service, name -> new ReadingSpeed(assumedTokensPerMilli.getAsDouble()));
+        service, name -> new PrefillSpeed(assumedTokensPerMilli.getAsDouble()));
   }
 
   /** By service, as far as this node has learned it itself. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/CachedParts.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefixCacheEstimates.java
@@ -14,7 +14,7 @@
  * parts dropped past the engine's capacity. Keyed by engine incarnation, so that a restarted engine
  * begins empty. One thread calls.
  */
-final class CachedParts {
+final class PrefixCacheEstimates {
 
   private static final float LOAD_FACTOR = 0.75f;
   private static final int INITIAL_CAPACITY = 64;
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PartHolders.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefixHolders.java
@@ -10,9 +10,9 @@
  * The engines that keep most of one prompt now. Made once a decision, so that pricing many
  * candidates does not look at every engine again for each. Immutable.
  */
-final class PartHolders {
+final class PrefixHolders {
 
-  private static final PartHolders NONE = new PartHolders(List.of(), 0);
+  private static final PrefixHolders NONE = new PrefixHolders(List.of(), 0);
   private static final int KEPT = 8;
 
   private final List<Holder> best;
@@ -26,13 +26,13 @@
    */
   record Holder(ServingEngine engine, int tokens) {}
 
-  private PartHolders(List<Holder> best, int soonTokens) {
+  private PrefixHolders(List<Holder> best, int soonTokens) {
     this.best = best;
     this.soonTokens = soonTokens;
   }
 
   /** Nobody keeps any of it. */
-  static PartHolders none() {
+  static PrefixHolders none() {
     return NONE;
   }
 
@@ -41,11 +41,11 @@
    *
    * @param soonTokens the most that any engine keeps, or is about to have read
    */
-  static PartHolders of(List<Holder> holders, int soonTokens) {
+  static PrefixHolders of(List<Holder> holders, int soonTokens) {
     List<Holder> sorted = new ArrayList<>(holders);
     sorted.sort(Comparator.comparingInt((Holder holder) -> -holder.tokens()));
     List<Holder> kept = sorted.subList(0, Math.min(KEPT, sorted.size()));
-    return new PartHolders(List.copyOf(kept), soonTokens);
+    return new PrefixHolders(List.copyOf(kept), soonTokens);
   }
 
   /** Tokens of the prompt that some engine keeps, or is about to have read. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -9,7 +9,7 @@
 import org.fallturn.core.routing.EngineProfile;
 import org.fallturn.core.routing.Route;
 import org.fallturn.core.routing.ServingEngine;
-import org.fallturn.core.waiting.CacheRoom;
+import org.fallturn.core.waiting.KvCacheWait;
 import org.fallturn.core.waiting.WaitingParameters;
 
 /**
@@ -140,9 +140,9 @@
   record Question(
       RequestProgress progress,
       PromptShape prompt,
-      ReadingSpeed speed,
+      PrefillSpeed speed,
       Optional<EngineProfile> profile,
-      PartHolders holders,
+      PrefixHolders holders,
       WaitingParameters waiting,
       long nowNanos) {
 
@@ -209,7 +209,7 @@
     Reading reading = bestReading(question, engine, readMillis);
     double besides =
         reading.fetchMillis()
-            + CacheFetch.moveMillis(question.prompt().promptTokens(), question.profile())
+            + CacheCopyTime.moveMillis(question.prompt().promptTokens(), question.profile())
             + SECOND_CALL_MILLIS
             + cacheWaitMillis(question, engine, selector.running(engine, question.nowNanos()))
             + commonMillis(question, engine, zone);
@@ -342,7 +342,7 @@
 
   private static Reading handedOver(Question question, ServingEngine engine, CacheSource source) {
     double millis =
-        CacheFetch.copyMillis(
+        CacheCopyTime.copyMillis(
             question.prompt().promptTokens(), source.engine(), engine, question.profile());
     return new Reading(Optional.empty(), 0, millis, 0);
   }
@@ -352,7 +352,7 @@
       Question question, ServingEngine engine, Function<Long, Double> readMillis) {
     PromptShape prompt = question.prompt();
     int own = selector.uncachedTokens(engine, prompt);
-    Optional<PartHolders.Holder> holder = question.holders().sourceFor(engine);
+    Optional<PrefixHolders.Holder> holder = question.holders().sourceFor(engine);
     int again = readAgain(question, own);
     if (holder.isEmpty()) {
       return new Reading(Optional.empty(), own, 0, again);
@@ -363,7 +363,7 @@
     if (copied <= 0) {
       return new Reading(Optional.empty(), own, 0, again);
     }
-    double copyMillis = CacheFetch.copyMillis(copied, from, engine, question.profile());
+    double copyMillis = CacheCopyTime.copyMillis(copied, from, engine, question.profile());
     if (copyMillis < readMillis.apply((long) copied) + readAgainMillis(question, copied)) {
       return new Reading(Optional.of(from), afterCopy, copyMillis, 0);
     }
@@ -401,7 +401,7 @@
     if (question.profile().isEmpty() || !question.waiting().cacheRoom()) {
       return 0;
     }
-    return CacheRoom.waitMillis(
+    return KvCacheWait.waitMillis(
         running,
         selector.cacheTokens(engine, question.nowNanos()),
         engine.slots(),
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Departures.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RecentDepartures.java
@@ -12,14 +12,14 @@
  * time after either, and entries also lapse when the store was down, so that they are a last resort
  * for a service that has no other engine. One thread calls.
  */
-final class Departures {
+final class RecentDepartures {
 
   private final long lifetimeNanos;
   private final Map<String, Departure> byId = new HashMap<>();
 
   private record Departure(ServingEngine engine, long untilNanos) {}
 
-  Departures(long lifetimeNanos) {
+  RecentDepartures(long lifetimeNanos) {
     this.lifetimeNanos = lifetimeNanos;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LoadWords.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ReportedLoads.java
@@ -8,7 +8,7 @@
  * What engines last said of their load, from the client threads that read their answers to the
  * dispatch thread. Of each engine only the newest word is kept until it is taken. Thread-safe.
  */
-public final class LoadWords {
+public final class ReportedLoads {
 
   private final Map<String, Said> newest = new ConcurrentHashMap<>();
 
@@ -20,7 +20,7 @@
   }
 
   /** An engine says what it has. */
-  public void onSaid(String engineId, ServerLoad load, long nowNanos) {
+  public void onLoadReported(String engineId, ServerLoad load, long nowNanos) {
     newest.merge(
         engineId,
         new Said(load, nowNanos),
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSilence.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
@@ -20,7 +20,7 @@
  * whatever the length of the prompts, as far as what other nodes have there is known. One thread
  * calls.
  */
-final class EngineSilence {
+final class SilenceDetector {
 
   /**
    * Beside the reading: until what another node has there and heard from there is known (a turn of
@@ -46,15 +46,15 @@
 
   private final EngineSelector selector;
   private final PeerLoads peerLoads;
-  private final Function<String, ReadingSpeed> speeds;
+  private final Function<String, PrefillSpeed> speeds;
   private final Function<String, Optional<EngineProfile>> profiles;
   private OptionalLong beganNanos = OptionalLong.empty();
   private boolean othersKnown;
 
-  EngineSilence(
+  SilenceDetector(
       EngineSelector selector,
       PeerLoads peerLoads,
-      Function<String, ReadingSpeed> speeds,
+      Function<String, PrefillSpeed> speeds,
       Function<String, Optional<EngineProfile>> profiles) {
     this.selector = selector;
     this.peerLoads = peerLoads;
@@ -72,7 +72,7 @@
   }
 
   /** Whether any of the other nodes was heard, or there is none. */
-  void setOthersKnown(boolean known) {
+  void setPeersKnown(boolean known) {
     othersKnown = known;
   }
 
@@ -94,7 +94,7 @@
   }
 
   private void check(String engineId, EngineLoad load, long nowNanos) {
-    peerLoads.heardNanos(engineId).ifPresent(load.health()::onSignToOthers);
+    peerLoads.heardNanos(engineId).ifPresent(load.health()::onPeerSignOfLife);
     load.oldest()
         .filter(oldest -> isSilent(oldest, nowNanos))
         .ifPresent(oldest -> load.health().onSilence(nowNanos));
@@ -119,7 +119,7 @@
 
   private long silentNanos(ServingEngine engine, RequestProgress progress, long nowNanos) {
     OptionalLong peersHeard = peerLoads.heardNanos(engine.id());
-    return nowNanos - selector.load(engine).lastSign(progress.sentNanos(), peersHeard);
+    return nowNanos - selector.load(engine).lastSignOfLifeNanos(progress.sentNanos(), peersHeard);
   }
 
   /**
@@ -133,7 +133,7 @@
     }
     long tokens = longestTokens(engine, mayMiss, nowNanos);
     double read = speeds.apply(engine.service()).readMillis(engine.stage(), tokens);
-    double move = CacheFetch.moveMillis(tokens, profiles.apply(engine.service()));
+    double move = CacheCopyTime.moveMillis(tokens, profiles.apply(engine.service()));
     return BASE_NANOS
         + (long) (slowness(engine, nowNanos) * (read + move) * TimeUnit.MILLISECONDS.toNanos(1));
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
@@ -45,7 +45,7 @@
 
   private final EngineSelector selector;
   private final PeerLoads peerLoads;
-  private final Function<String, ReadingSpeed> speeds;
+  private final Function<String, PrefillSpeed> speeds;
   private final String node;
   private final StageParameters parameters;
   private final Map<String, StagePlanner> planners = new HashMap<>();
@@ -55,7 +55,7 @@
   StageControl(
       EngineSelector selector,
       PeerLoads peerLoads,
-      Function<String, ReadingSpeed> speeds,
+      Function<String, PrefillSpeed> speeds,
       String node,
       StageParameters parameters) {
     this.selector = selector;
@@ -101,7 +101,7 @@
   }
 
   private boolean orders(long nowNanos) {
-    return mayOrder(nowNanos) && peerLoads.isFirst(node, nowNanos);
+    return mayOrder(nowNanos) && peerLoads.isFirstByName(node, nowNanos);
   }
 
   /**
@@ -110,7 +110,7 @@
    */
   public boolean leads(long nowNanos) {
     return orders(nowNanos)
-        || candidate && !isServed(nowNanos) && peerLoads.nobodyMayOrder(nowNanos);
+        || candidate && !isServed(nowNanos) && peerLoads.noPeerMayOrder(nowNanos);
   }
 
   /** Says whether this node is one of the few that may order at all. */
@@ -128,7 +128,7 @@
   }
 
   /** The store did not give this node the lease, though it may serve others. */
-  public void onCannotLead(long nowNanos) {
+  public void onLeaseDenied(long nowNanos) {
     noLeaseNanos = OptionalLong.of(nowNanos);
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
@@ -15,20 +15,20 @@
    * Whether nothing is told. Asked for each engine by each process that starts, and so by fields:
    * the equality of records is linked on first use, which holds a start up.
    */
-  public boolean saysNothing() {
+  public boolean isNegligible() {
     return rate.nodes() == 0 && !word.named() && !word.ended();
   }
 
   /** What both tell together; for most engines that is nothing, and costs nothing. */
   public LimitDigest and(LimitDigest other) {
-    if (saysNothing() || other.saysNothing()) {
-      return saysNothing() ? other : this;
+    if (isNegligible() || other.isNegligible()) {
+      return isNegligible() ? other : this;
     }
     return new LimitDigest(rate.plus(other.rate), word.and(other.word));
   }
 
   /** The same, told so many ms later. */
   public LimitDigest aged(int millis) {
-    return saysNothing() ? NONE : new LimitDigest(rate, word.aged(millis));
+    return isNegligible() ? NONE : new LimitDigest(rate, word.aged(millis));
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/NamedLimit.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/NamedLimit.java
@@ -46,7 +46,7 @@
   }
 
   /** Other nodes tell what they know; whether that changes what is in force. */
-  public boolean onTold(LimitWord word, long nowNanos) {
+  public boolean onPeerReport(LimitWord word, long nowNanos) {
     long toldNamed = nowNanos - TimeUnit.MILLISECONDS.toNanos(word.namedAgoMillis());
     boolean named =
         word.named() && newerThanKnown(toldNamed) && set(word.perSecond(), false, toldNamed);
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/UsualPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/BaselinePace.java
@@ -4,7 +4,7 @@
  * What is usual for one kind of work at all engines of a service, against what was expected: faults
  * of the expectation that are the same at all of them are no news of any. One thread calls.
  */
-final class UsualPace {
+final class BaselinePace {
 
   /** Before, nothing is said of an engine. */
   private static final int ENOUGH_SAMPLES = 4;
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
@@ -3,22 +3,22 @@
 /** What is known of the pace of one engine at one kind of work. One thread calls. */
 final class EngineEstimate {
 
-  private final LastingPace lasting = new LastingPace();
-  private final OwnWord own = new OwnWord();
-  private PaceWord lately = PaceWord.NONE;
+  private final LongTermPace lasting = new LongTermPace();
+  private final ReportedPace own = new ReportedPace();
+  private RecentPace lately = RecentPace.NONE;
   private long latelyNanos;
   private PaceState state = PaceState.USUAL;
 
-  OwnWord own() {
+  ReportedPace own() {
     return own;
   }
 
-  LastingPace lasting() {
+  LongTermPace lasting() {
     return lasting;
   }
 
   /** This node's samples that have not faded. */
-  PaceWord lately(long nowNanos) {
+  RecentPace lately(long nowNanos) {
     return lately.aged(nowNanos - latelyNanos);
   }
 
@@ -28,9 +28,9 @@
    * @param told by others
    * @param kind what is known of all engines
    */
-  PaceForecast forecast(PaceWord told, KindPace kind, long nowNanos) {
+  PaceForecast forecast(RecentPace told, WorkKindPace kind, long nowNanos) {
     double mean = lasting.log(kind.usualSamples(), nowNanos);
-    PaceWord all = lately(nowNanos).and(told);
+    RecentPace all = lately(nowNanos).and(told);
     double moment = (all.sum() - all.samples() * (mean + kind.common())) / (all.samples() + 1);
     double estimate = mean + kind.momentWeight().get() * moment;
     double weight = own.weight(nowNanos);
@@ -60,8 +60,8 @@
    * Other nodes' samples are told until they have faded: of each, the part that has passed since
    * the last turn is taken.
    */
-  void onTold(PaceWord told, double common, long passedNanos, long nowNanos) {
-    double weight = told.samples() * Math.min(1, (double) passedNanos / PaceWord.FADE_NANOS);
+  void onPeerReport(RecentPace told, double common, long passedNanos, long nowNanos) {
+    double weight = told.samples() * Math.min(1, (double) passedNanos / RecentPace.FADE_NANOS);
     if (weight > 0) {
       double apart = told.mean() - common;
       double difference = apart - lasting.mean();
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/EnginePace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/EnginePace.java
@@ -10,7 +10,7 @@
 public interface EnginePace {
 
   /** All engines of a service are alike. */
-  EnginePace EVEN = (engineId, kind, nowNanos) -> 1;
+  EnginePace UNIFORM = (engineId, kind, nowNanos) -> 1;
 
   /**
    * Factor by which work takes longer there than usual.
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/LastingPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/LongTermPace.java
@@ -2,10 +2,10 @@
 
 /**
  * What one engine is, apart from what it is now: the mean of its samples, drawn to the usual as far
- * as {@link Evenness} says that engines are alike. It lasts for as many samples as it is made of
- * and, where none come, for as long as those took to come. One thread calls.
+ * as {@link ShrinkagePrior} says that engines are alike. It lasts for as many samples as it is made
+ * of and, where none come, for as long as those took to come. One thread calls.
  */
-final class LastingPace {
+final class LongTermPace {
 
   /** The newest count as one of so many, so that an engine that has changed is known anew. */
   private static final double MEMORY_SAMPLES = 256;
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/LearnedPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceEstimator.java
@@ -20,22 +20,22 @@
  * <p>Invariants: an engine of which nothing is known works as usual; what is kept is bounded by the
  * engines that are listed and {@link #MAX_WORK}. One thread calls.
  */
-public final class LearnedPace implements EnginePace {
+public final class PaceEstimator implements EnginePace {
 
   /** Routes change; what is usual for one is learned anew within a few samples. */
   private static final int MAX_WORK = 1_000;
 
-  private final PeerWords peers;
-  private final Map<String, UsualPace> usual = new HashMap<>();
-  private final Map<WorkKind, KindPace> kinds = new EnumMap<>(WorkKind.class);
+  private final PeerPaces peers;
+  private final Map<String, BaselinePace> usual = new HashMap<>();
+  private final Map<WorkKind, WorkKindPace> kinds = new EnumMap<>(WorkKind.class);
   private long toldNanos;
   private boolean told;
 
   /** Nothing is learned yet. */
-  public LearnedPace(PeerWords peers) {
+  public PaceEstimator(PeerPaces peers) {
     this.peers = peers;
     for (WorkKind kind : WorkKind.values()) {
-      kinds.put(kind, new KindPace());
+      kinds.put(kind, new WorkKindPace());
     }
   }
 
@@ -46,7 +46,7 @@
 
   /** What is believed of an engine, to be given back with the sample that comes of it. */
   public PaceForecast forecast(String engineId, WorkKind kind, long nowNanos) {
-    KindPace known = kinds.get(kind);
+    WorkKindPace known = kinds.get(kind);
     EngineEstimate estimate = known.engines().get(engineId);
     return estimate == null
         ? PaceForecast.NONE
@@ -61,7 +61,7 @@
     if (usual.size() >= MAX_WORK && !usual.containsKey(sample.work())) {
       usual.clear();
     }
-    UsualPace usualOfWork = usual.computeIfAbsent(sample.work(), work -> new UsualPace());
+    BaselinePace usualOfWork = usual.computeIfAbsent(sample.work(), work -> new BaselinePace());
     if (usualOfWork.isKnown()) {
       learn(usualOfWork.deviation(sample.log()), sample, nowNanos);
     }
@@ -69,7 +69,7 @@
   }
 
   private void learn(double log, PaceSample sample, long nowNanos) {
-    KindPace kind = kinds.get(sample.kind());
+    WorkKindPace kind = kinds.get(sample.kind());
     PaceForecast forecast = sample.forecast();
     double came = log - kind.common() - forecast.lasting();
     kind.momentWeight().onOutcome(forecast.moment(), came, sample.weight());
@@ -81,16 +81,16 @@
    *
    * @param factor 1 as usual
    */
-  public void onOwnWord(String engineId, double factor, long saidNanos) {
+  public void onReportedPace(String engineId, double factor, long saidNanos) {
     kinds
         .values()
         .forEach(kind -> kind.engine(engineId).own().say(PaceBounds.log(factor), saidNanos));
   }
 
   /** What this node's work says of an engine lately, for the other nodes. */
-  public PaceWord lately(String engineId, WorkKind kind, long nowNanos) {
+  public RecentPace lately(String engineId, WorkKind kind, long nowNanos) {
     EngineEstimate estimate = kinds.get(kind).engines().get(engineId);
-    return estimate == null ? PaceWord.NONE : estimate.lately(nowNanos);
+    return estimate == null ? RecentPace.NONE : estimate.lately(nowNanos);
   }
 
   /**
@@ -107,10 +107,10 @@
     kinds.values().forEach(kind -> kind.compare(peers, nowNanos));
   }
 
-  private void takeTold(String engineId, KindPace kind, long passedNanos, long nowNanos) {
-    PaceWord word = peers.of(engineId, nowNanos);
+  private void takeTold(String engineId, WorkKindPace kind, long passedNanos, long nowNanos) {
+    RecentPace word = peers.of(engineId, nowNanos);
     if (word.samples() > 0) {
-      kind.engine(engineId).onTold(word, kind.common(), passedNanos, nowNanos);
+      kind.engine(engineId).onPeerReport(word, kind.common(), passedNanos, nowNanos);
     }
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PeerWords.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PeerPaces.java
@@ -2,11 +2,11 @@
 
 /** What the other nodes tell of the pace of engines. */
 @FunctionalInterface
-public interface PeerWords {
+public interface PeerPaces {
 
   /** Nobody is heard. */
-  PeerWords NOBODY = (engineId, nowNanos) -> PaceWord.NONE;
+  PeerPaces NOBODY = (engineId, nowNanos) -> RecentPace.NONE;
 
   /** What they said lately of an engine, as old as it is now. */
-  PaceWord of(String engineId, long nowNanos);
+  RecentPace of(String engineId, long nowNanos);
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceWord.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/RecentPace.java
@@ -9,10 +9,10 @@
  * @param sum of the natural logarithms of the factors by which work took longer than usual
  * @param samples how many there were, as far as they have not faded
  */
-public record PaceWord(double sum, double samples) {
+public record RecentPace(double sum, double samples) {
 
   /** Nothing ended lately. */
-  public static final PaceWord NONE = new PaceWord(0, 0);
+  public static final RecentPace NONE = new RecentPace(0, 0);
 
   /** Nodes tell each other every 100 ms, and one message of three may be lost. */
   static final long FADE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
@@ -27,9 +27,9 @@
   private static final double TENTHS = 10;
 
   /** A word as it was told. */
-  public static PaceWord of(int percent, int tenthsOfSamples) {
+  public static RecentPace of(int percent, int tenthsOfSamples) {
     double samples = Math.max(0, tenthsOfSamples) / TENTHS;
-    return new PaceWord(samples * PaceBounds.log(percent / PERCENT), samples);
+    return new RecentPace(samples * PaceBounds.log(percent / PERCENT), samples);
   }
 
   /** The mean factor in percent; 100 as usual. */
@@ -48,30 +48,30 @@
   }
 
   /** Whether it is not worth telling. */
-  public boolean saysNothing() {
+  public boolean isNegligible() {
     return samples < LEAST_SAMPLES || Math.abs(mean()) < LEAST_DIFFERENCE;
   }
 
   /** The same, or none where it is not worth telling. */
-  public PaceWord worthTelling() {
-    return saysNothing() ? NONE : this;
+  public RecentPace dropIfNegligible() {
+    return isNegligible() ? NONE : this;
   }
 
   /** Both together. */
-  public PaceWord and(PaceWord other) {
-    return other.samples == 0 ? this : new PaceWord(sum + other.sum, samples + other.samples);
+  public RecentPace and(RecentPace other) {
+    return other.samples == 0 ? this : new RecentPace(sum + other.sum, samples + other.samples);
   }
 
   /** The same so much later. */
-  public PaceWord aged(long nanos) {
+  public RecentPace aged(long nanos) {
     if (samples == 0 || nanos <= 0) {
       return this;
     }
     double left = Math.exp(-(double) nanos / FADE_NANOS);
-    return new PaceWord(sum * left, samples * left);
+    return new RecentPace(sum * left, samples * left);
   }
 
-  PaceWord with(double log, double weight) {
-    return new PaceWord(sum + weight * log, samples + weight);
+  RecentPace with(double log, double weight) {
+    return new RecentPace(sum + weight * log, samples + weight);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/OwnWord.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ReportedPace.java
@@ -7,7 +7,7 @@
  * time that work took much longer or shorter and this node's own estimate was nearer. A word stays
  * fresh for as long as the engine takes to say the next. One thread calls.
  */
-final class OwnWord {
+final class ReportedPace {
 
   /** What a word that was wrong leaves of the trust in the next. */
   private static final double KEPT_WHEN_WRONG = 0.7;
@@ -50,7 +50,7 @@
   }
 
   private double lasts() {
-    return Math.max(gapNanos, PaceWord.FADE_NANOS);
+    return Math.max(gapNanos, RecentPace.FADE_NANOS);
   }
 
   /** What came of a word and of an estimate that were there when the work was sent. */
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/MomentWeight.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ShortTermWeight.java
@@ -5,7 +5,7 @@
  * done. Learned from what came of earlier differences, since neither how long engines stay slow nor
  * how much single times vary is known beforehand. One thread calls.
  */
-final class MomentWeight {
+final class ShortTermWeight {
 
   /** A part is believed until enough was seen. */
   private static final double FIRST_WEIGHT = 0.25;
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/Evenness.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/ShrinkagePrior.java
@@ -7,7 +7,7 @@
  * differs. Where their means differ by no more than single times vary, none is set apart for it,
  * else all nodes would go by the same noise. One thread calls.
  */
-final class Evenness {
+final class ShrinkagePrior {
 
   /** Until engines have been compared. */
   private static final double FIRST_SAMPLES = 16;
@@ -28,13 +28,13 @@
   }
 
   /** Compares the engines anew: the variance of single times against that between engines. */
-  void compare(Collection<LastingPace> engines, long nowNanos) {
+  void compare(Collection<LongTermPace> engines, long nowNanos) {
     double count = 0;
     double sum = 0;
     double squares = 0;
     double variance = 0;
     double ofMeans = 0;
-    for (LastingPace engine : engines) {
+    for (LongTermPace engine : engines) {
       double samples = engine.samples(nowNanos);
       if (samples >= MIN_SAMPLES) {
         count++;
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/KindPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/WorkKindPace.java
@@ -6,14 +6,14 @@
 import java.util.function.Predicate;
 
 /** What is known of all engines at one kind of work. One thread calls. */
-final class KindPace {
+final class WorkKindPace {
 
   /** Samples that speak for the usual load of all engines. */
   private static final double USUAL_LOAD_SAMPLES = 4;
 
   private final Map<String, EngineEstimate> engines = new HashMap<>();
-  private final MomentWeight momentWeight = new MomentWeight();
-  private final Evenness evenness = new Evenness();
+  private final ShortTermWeight momentWeight = new ShortTermWeight();
+  private final ShrinkagePrior evenness = new ShrinkagePrior();
   private double common;
 
   Map<String, EngineEstimate> engines() {
@@ -24,7 +24,7 @@
     return engines.computeIfAbsent(engineId, id -> new EngineEstimate());
   }
 
-  MomentWeight momentWeight() {
+  ShortTermWeight momentWeight() {
     return momentWeight;
   }
 
@@ -42,16 +42,16 @@
   }
 
   /** Compares the engines with each other anew. */
-  void compare(PeerWords peers, long nowNanos) {
+  void compare(PeerPaces peers, long nowNanos) {
     double sum = 0;
     double samples = USUAL_LOAD_SAMPLES;
     for (Map.Entry<String, EngineEstimate> engine : engines.entrySet()) {
-      PaceWord word = engine.getValue().lately(nowNanos).and(peers.of(engine.getKey(), nowNanos));
+      RecentPace word = engine.getValue().lately(nowNanos).and(peers.of(engine.getKey(), nowNanos));
       sum += word.sum() - word.samples() * engine.getValue().lasting().mean();
       samples += word.samples();
     }
     common = sum / samples;
-    List<LastingPace> lasting = engines.values().stream().map(EngineEstimate::lasting).toList();
+    List<LongTermPace> lasting = engines.values().stream().map(EngineEstimate::lasting).toList();
     evenness.compare(lasting, nowNanos);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/FleetKnowledge.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/FleetKnowledge.java
@@ -148,8 +148,8 @@
     if (message.kind() != MessageKind.GREETING) {
       directory.onHeard(sender, nowNanos);
     }
-    message.relays().forEach(told -> directory.onTold(told, nowNanos));
-    boolean news = tables.onTold(message.tables(), nowNanos) && relaying;
+    message.relays().forEach(told -> directory.onPeerReport(told, nowNanos));
+    boolean news = tables.onPeerReport(message.tables(), nowNanos) && relaying;
     memberTableNews |= news;
     tableNews |= news && message.kind() != MessageKind.GROUP;
     if (message.wantsListings()) {
@@ -164,7 +164,7 @@
     if (message.kind() == MessageKind.GREETING) {
       welcome.add(speaker);
     } else if (message.kind() == MessageKind.WELCOME) {
-      count.onTold(message.load().nodes(), nowNanos);
+      count.onPeerReport(message.load().nodes(), nowNanos);
     }
     boolean strangersView = message.kind() == MessageKind.VIEW && !isRelay(message.sender());
     if (!strangersView) {
@@ -436,7 +436,7 @@
     if (relay.isEmpty() || nowNanos - relaySinceNanos < RELAY_SILENCE_NANOS) {
       return;
     }
-    if (!loads.viewHeardWithin(RELAY_SILENCE_NANOS, nowNanos)) {
+    if (!loads.viewReceivedWithin(RELAY_SILENCE_NANOS, nowNanos)) {
       directory.avoid(relay.get().address(), nowNanos);
       relay = Optional.empty();
     }
@@ -549,7 +549,7 @@
     ranking.relays().stream()
         .filter(peer -> !peer.equals(self))
         .forEach(peer -> targets.add(peer.address()));
-    targets.addAll(loads.speakers(PeerLoads.Source.RELAY, nowNanos));
+    targets.addAll(loads.senders(PeerLoads.Source.RELAY, nowNanos));
     return targets;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/NodeCount.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/NodeCount.java
@@ -31,11 +31,11 @@
 
   /** So many nodes are heard now, this one included. */
   void onHeard(int count, long nowNanos) {
-    onTold(settled(count, nowNanos), nowNanos);
+    onPeerReport(settled(count, nowNanos), nowNanos);
   }
 
   /** Another node has counted so many. */
-  void onTold(int count, long nowNanos) {
+  void onPeerReport(int count, long nowNanos) {
     if (count >= highest || nowNanos - highestNanos >= HIGHEST_NANOS) {
       highest = count;
       highestNanos = nowNanos;
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/PeerDirectory.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/PeerDirectory.java
@@ -49,7 +49,7 @@
   }
 
   /** A node told of another. */
-  void onTold(KnownPeer told, long nowNanos) {
+  void onPeerReport(KnownPeer told, long nowNanos) {
     PeerInfo peer = told.info();
     long heardNanos = nowNanos - TimeUnit.MILLISECONDS.toNanos(told.ageMillis());
     Entry before = entries.get(peer.address());
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
@@ -61,7 +61,7 @@
    *
    * @return whether anything of it was new
    */
-  boolean onTold(Map<String, Long> told, long nowNanos) {
+  boolean onPeerReport(Map<String, Long> told, long nowNanos) {
     boolean news = false;
     for (Map.Entry<String, Long> entry : told.entrySet()) {
       news |= raise(newest, entry.getKey(), entry.getValue());
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
@@ -189,14 +189,14 @@
   }
 
   /** The content was answered well. */
-  public void onGood(RequestContent content, long nowNanos) {
+  public void onSuccess(RequestContent content, long nowNanos) {
     Suspect suspect = find(content);
     if (suspect == null) {
       return;
     }
     if (!suspect.matters()) {
       drop(suspect);
-    } else if (suspect.onGood(nowNanos, nowNanos)) {
+    } else if (suspect.onSuccess(nowNanos, nowNanos)) {
       active.add(suspect);
       news = true;
       notice(suspect);
@@ -212,7 +212,7 @@
   }
 
   /** Another node tells of a content. */
-  public void onTold(CrashReport report, long nowNanos) {
+  public void onPeerReport(CrashReport report, long nowNanos) {
     if (report.askedAgoMillis() > LIFETIME_MILLIS) {
       return;
     }
@@ -221,7 +221,7 @@
     suspect.onAsked(askedNanos);
     boolean learned = false;
     if (report.goodAgoMillis() != CrashReport.NEVER) {
-      learned = suspect.onGood(at(report.goodAgoMillis(), nowNanos), nowNanos);
+      learned = suspect.onSuccess(at(report.goodAgoMillis(), nowNanos), nowNanos);
     }
     for (SeenCrash crash : report.crashes()) {
       long crashedNanos = at(crash.ageMillis(), nowNanos);
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Suspect.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Suspect.java
@@ -258,7 +258,7 @@
   }
 
   /** It was answered well. Whether this was news. */
-  boolean onGood(long atNanos, long nowNanos) {
+  boolean onSuccess(long atNanos, long nowNanos) {
     if (goodSince(atNanos)) {
       return false;
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/StandingStore.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/InitialCountsStore.java
@@ -7,7 +7,7 @@
  * Port: how many engines each service had in each zone before any order. Calls block their thread
  * for a bounded time; one thread calls.
  */
-public interface StandingStore {
+public interface InitialCountsStore {
 
   /**
    * Fixes the numbers of a service, unless they were fixed before.
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleControl.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/ScaleControl.java
@@ -38,10 +38,10 @@
   }
 
   /** What is to be done now, if anything. */
-  public Optional<ScaleWish> wanted(long nowNanos) {
+  public Optional<ScaleAction> wanted(long nowNanos) {
     for (ServiceDefinition service : services) {
       if (service.scaling().isPresent()) {
-        Optional<ScaleWish> wish =
+        Optional<ScaleAction> wish =
             planner(service.name())
                 .wanted(service.scaling().get(), directory.ofService(service.name()), nowNanos);
         if (wish.isPresent()) {
@@ -57,8 +57,8 @@
   }
 
   /** The numbers of a service before any order. */
-  public void onStanding(String service, Map<String, Integer> byZone) {
-    planner(service).onStanding(byZone);
+  public void onInitialCounts(String service, Map<String, Integer> byZone) {
+    planner(service).onInitialCounts(byZone);
   }
 
   /** An order was answered, or not. */
--- a/fallturn-core/src/main/java/org/fallturn/core/scaling/ScalePlanner.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/scaling/ScalePlanner.java
@@ -59,12 +59,12 @@
   }
 
   /** The numbers before any order, as the store holds them. */
-  public void onStanding(Map<String, Integer> byZone) {
+  public void onInitialCounts(Map<String, Integer> byZone) {
     standing = new TreeMap<>(byZone);
   }
 
   /** What is to be done now, if anything; the same until it was answered. */
-  public Optional<ScaleWish> wanted(
+  public Optional<ScaleAction> wanted(
       ScalingTerms terms, Collection<ServingEngine> listed, long nowNanos) {
     if (!parameters.enabled() || terms.loanPrice().isEmpty()) {
       return Optional.empty();
@@ -74,14 +74,14 @@
       return Optional.empty();
     }
     if (standing.isEmpty()) {
-      return Optional.of(new ScaleWish.FixStanding(service, lastSeen));
+      return Optional.of(new ScaleAction.RecordInitialCounts(service, lastSeen));
     }
     if (!loansPay(terms)) {
       return Optional.empty();
     }
     return wantedLoans(terms, staying, nowNanos)
         .or(() -> wantedOwn(staying, nowNanos))
-        .map(ScaleWish.Give::new);
+        .map(ScaleAction.SendOrder::new);
   }
 
   /** Only own engines count here: loans come and go by orders. */
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/RoomShare.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/CapacityShare.java
@@ -8,7 +8,7 @@
  * is given its part of the room anew as often as the word of it is renewed, several times over,
  * since most nodes have nothing that waits. One thread calls.
  */
-public final class RoomShare {
+public final class CapacityShare {
 
   /** Part of the whole room from which on no node holds back. */
   private static final double FREE_PART = 0.3;
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/CacheRoom.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/KvCacheWait.java
@@ -8,12 +8,12 @@
  * anew. Only as many requests hold memory as the engine runs at once. What is kept of earlier
  * prompts gives way and is no matter here. Pure.
  */
-public final class CacheRoom {
+public final class KvCacheWait {
 
   /** Answers may be longer than expected, and blocks are not quite full. */
   private static final double USED_PART = 0.95;
 
-  private CacheRoom() {}
+  private KvCacheWait() {}
 
   /**
    * Time in ms until enough of what runs has ended.
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/StayLengths.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/ResponseTimes.java
@@ -5,7 +5,7 @@
 import java.util.OptionalDouble;
 
 /** How long requests of each service stay at an engine, in ms. One thread calls. */
-public final class StayLengths {
+public final class ResponseTimes {
 
   /** Weight of one observation: a change is known after some ten, and one long stay says little. */
   private static final double WEIGHT = 0.1;
@@ -41,7 +41,7 @@
    * @param present requests there now
    * @param millis the time
    */
-  public double sentWithin(String service, int present, double millis) {
+  public double arrivalsWithin(String service, int present, double millis) {
     double stay = Math.max(1, stays.getOrDefault(service, millis));
     return present * millis / stay;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/FullMarks.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
@@ -10,7 +10,7 @@
  * since what others had there was known only roughly, and an engine may have become faster. One
  * thread calls.
  */
-public final class FullMarks {
+public final class SaturationLimits {
 
   /** Less than was there when it was full, since the others' part of it is old. */
   private static final double SAFE_PART = 0.9;
@@ -33,7 +33,7 @@
    * @param present requests that were there as far as it was known
    * @param slots requests that it works on; one that has fewer did not turn it away for being full
    */
-  public void onTurnedAway(String engineId, int present, int slots, long nowNanos) {
+  public void onRejection(String engineId, int present, int slots, long nowNanos) {
     if (present >= slots) {
       marks.put(engineId, new Mark(Math.max(slots, SAFE_PART * present), nowNanos));
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingRoom.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaitingRequests.java
@@ -19,7 +19,7 @@
  *
  * @param <R> a request
  */
-public final class WaitingRoom<R> {
+public final class WaitingRequests<R> {
 
   /**
    * A request that waits.
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/EvenFill.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/WaterFilling.java
@@ -13,7 +13,7 @@
  * the emptier engines only as much more as they have room for. Its limit: who draws is spread as
  * chance spreads, by about the root of the number that is placed. Pure.
  */
-public final class EvenFill {
+public final class WaterFilling {
 
   /**
    * An engine that requests are divided over.
@@ -21,12 +21,12 @@
    * @param level requests there by its capacity, and what else makes it less attractive
    * @param capacity requests it works on at once, less where it is slow; above 0
    */
-  public record Vessel(double level, double capacity) {}
+  public record EngineFill(double level, double capacity) {}
 
   /** Chooses the emptiest, and any of several that are alike. */
   private static final double LEAST_AMOUNT = 1e-3;
 
-  private EvenFill() {}
+  private WaterFilling() {}
 
   /**
    * The place in the list of the engine for one request.
@@ -35,7 +35,7 @@
    * @param amount requests that are divided; where it is next to nothing, the emptiest is chosen
    * @param draw from 0 to below 1, even over requests
    */
-  public static int choose(List<Vessel> vessels, double amount, double draw) {
+  public static int choose(List<EngineFill> vessels, double amount, double draw) {
     double divided = Math.max(LEAST_AMOUNT, amount);
     double level = commonLevel(vessels, divided);
     double left = draw * divided;
@@ -54,18 +54,18 @@
     return last;
   }
 
-  private static double partOf(Vessel vessel, double level) {
+  private static double partOf(EngineFill vessel, double level) {
     return Math.max(0, level - vessel.level()) * vessel.capacity();
   }
 
   /** The level up to which the amount fills the vessels that stand below it. */
-  static double commonLevel(List<Vessel> vessels, double amount) {
-    List<Vessel> byLevel = new ArrayList<>(vessels);
-    byLevel.sort(Comparator.comparingDouble(Vessel::level));
+  static double commonLevel(List<EngineFill> vessels, double amount) {
+    List<EngineFill> byLevel = new ArrayList<>(vessels);
+    byLevel.sort(Comparator.comparingDouble(EngineFill::level));
     double filled = amount;
     double capacity = 0;
     double common = 0;
-    for (Vessel vessel : byLevel) {
+    for (EngineFill vessel : byLevel) {
       if (capacity > 0 && vessel.level() >= common) {
         break;
       }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
@@ -337,6 +337,6 @@
 
   private void hear(int node, LoadDigest load, List<CrashReport> reports) {
     Requests.hear(nodes.get(node), load, now());
-    reports.forEach(report -> nodes.get(node).quarantine().onTold(report, now()));
+    reports.forEach(report -> nodes.get(node).quarantine().onPeerReport(report, now()));
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/DispatcherTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/DispatcherTest.java
@@ -229,7 +229,7 @@
     Dispatcher started = Requests.dispatcher(prefill, decode);
     RequestProgress progress = Requests.prompt(false, 13_000, 4_000);
     List<PromptPart> shared = progress.envelope().prompt().orElseThrow().sharedParts();
-    started.fleet().onCacheListed(new PlacedPrompt("p-1", 0, shared), after(1_000));
+    started.fleet().onEngineCacheListing(new PlacedPrompt("p-1", 0, shared), after(1_000));
     Decision.Prefill decision = (Decision.Prefill) started.start(progress, after(1_010));
     assertThat(decision.engine()).isEqualTo(prefill);
     assertThat(decision.expectation().readTokens()).isEqualTo(4_000);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.pace.ServerLoad;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineStage;
@@ -54,7 +54,7 @@
 
   private static void tell(Dispatcher dispatcher, int sequence, long nowNanos) {
     EngineDigest digest =
-        new EngineDigest(0, 0, List.of(), 0, 0, 10).withPace(PaceWord.of(300, 40));
+        new EngineDigest(0, 0, List.of(), 0, 0, 10).withPace(RecentPace.of(300, 40));
     LoadDigest told =
         new LoadDigest("node-2", 1, sequence, Map.of("a-1", digest), List.of(), Map.of());
     Requests.hear(dispatcher, told, nowNanos);
@@ -63,7 +63,7 @@
   @Test
   void engineThatSaysThatItIsSlowGetsFewer() {
     Dispatcher dispatcher = Requests.dispatcher(first, second);
-    dispatcher.notices().loadWords().onSaid("a-1", paceOf(300), START);
+    dispatcher.notices().reportedLoads().onLoadReported("a-1", paceOf(300), START);
     assertThat(sentToFirst(dispatcher, START)).isLessThanOrEqualTo(REQUESTS / 3);
   }
 
@@ -86,7 +86,7 @@
   @Test
   void nothingIsGoneByWhereNothingIsLearned() {
     Dispatcher dispatcher = Requests.dispatcher(1_000, false, first, second);
-    dispatcher.notices().loadWords().onSaid("a-1", paceOf(300), START);
+    dispatcher.notices().reportedLoads().onLoadReported("a-1", paceOf(300), START);
     tell(dispatcher, 1, START);
     dispatcher.onTick(after(50));
     assertThat(sentToFirst(dispatcher, after(60))).isEqualTo(REQUESTS / 2);
@@ -106,7 +106,7 @@
     assertThat(progress.engine()).contains(reader);
     boolean suspended = false;
     for (int millis = 0; millis <= 1_400; millis += 100) {
-      dispatcher.notices().loadWords().onSaid("p-1", paceOf(300), after(millis));
+      dispatcher.notices().reportedLoads().onLoadReported("p-1", paceOf(300), after(millis));
       dispatcher.onTick(after(millis));
       suspended |=
           dispatcher.takeHealthChanges(after(millis)).stream().anyMatch(HealthChange::suspended);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ReadingFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillFleet.java
@@ -17,7 +17,7 @@
  * most urgent and earliest is taken next, and one that is being read is not set aside. An engine
  * says something only when it has read a prompt. Time goes by steps.
  */
-final class ReadingFleet {
+final class PrefillFleet {
 
   private static final int STEP_MILLIS = 5;
 
@@ -42,11 +42,11 @@
   private int sequence;
   private long millis;
 
-  ReadingFleet(int nodeCount, double tokensPerMilli, ServingEngine... served) {
+  PrefillFleet(int nodeCount, double tokensPerMilli, ServingEngine... served) {
     this(nodeCount, tokensPerMilli, true, served);
   }
 
-  ReadingFleet(int nodeCount, double tokensPerMilli, boolean learnsPace, ServingEngine... served) {
+  PrefillFleet(int nodeCount, double tokensPerMilli, boolean learnsPace, ServingEngine... served) {
     for (ServingEngine engine : served) {
       engines.put(engine.id(), new ReadingEngine(engine, tokensPerMilli));
     }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ReadingSpeedTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillSpeedTest.java
@@ -5,14 +5,14 @@
 
 import org.junit.jupiter.api.Test;
 
-class ReadingSpeedTest {
+class PrefillSpeedTest {
 
   private static final double GUESS = 40;
 
   /** Else a node whose calls take long sends every prompt to decode engines. */
   @Test
   void overheadOfACallDoesNotSpeakAgainstReadingAhead() {
-    ReadingSpeed speed = new ReadingSpeed(GUESS);
+    PrefillSpeed speed = new PrefillSpeed(GUESS);
     for (int tokens = 2_000; tokens < 20_000; tokens += 1_000) {
       speed.observe(0, tokens, 200 + tokens / 61.0);
     }
@@ -22,7 +22,7 @@
 
   @Test
   void samplesThatABusyNodeTimedLateAreForgottenSoon() {
-    ReadingSpeed speed = new ReadingSpeed(GUESS);
+    PrefillSpeed speed = new PrefillSpeed(GUESS);
     speed.observe(0, 3_000, 400);
     speed.observe(0, 9_000, 260);
     for (int sample = 0; sample < 15; sample++) {
@@ -34,9 +34,9 @@
   /** What a node that was just told a speed tells others is not a guess of its own. */
   @Test
   void whatWasToldIsTakenOnceAndOnlyByANodeThatHasSeenLittle() {
-    ReadingSpeed started = new ReadingSpeed(GUESS);
-    started.onTold(new LearnedSpeed(0.005));
-    started.onTold(new LearnedSpeed(0.5));
+    PrefillSpeed started = new PrefillSpeed(GUESS);
+    started.onPeerReport(new LearnedSpeed(0.005));
+    started.onPeerReport(new LearnedSpeed(0.5));
     assertThat(started.tokenMillis()).isCloseTo(0.005, within(1e-9));
     assertThat(started.isKnown()).isTrue();
   }
@@ -44,7 +44,7 @@
   /** In a fleet under load most prompts wait, some of them behind what is not known yet. */
   @Test
   void promptsThatWaitedDoNotMakeEnginesSeemSlow() {
-    ReadingSpeed speed = new ReadingSpeed(GUESS);
+    PrefillSpeed speed = new PrefillSpeed(GUESS);
     for (int sample = 0; sample < 100; sample++) {
       speed.observe(20_000, 5_000, 900);
       speed.observe(0, 5_000, sample % 4 == 0 ? 100 : 400);
@@ -54,7 +54,7 @@
 
   @Test
   void learnsWithinAFewSamples() {
-    ReadingSpeed speed = new ReadingSpeed(GUESS);
+    PrefillSpeed speed = new PrefillSpeed(GUESS);
     assertThat(speed.isKnown()).isFalse();
     for (int tokens = 2_000; tokens < 14_000; tokens += 1_000) {
       speed.observe(0, tokens, 5 + tokens / 300.0);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/CachedPartsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefixCacheEstimatesTest.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class CachedPartsTest {
+class PrefixCacheEstimatesTest {
 
   private static final long CAPACITY = 1_000;
 
-  private final CachedParts parts = new CachedParts();
+  private final PrefixCacheEstimates parts = new PrefixCacheEstimates();
 
   private static PromptPart part(String id, int tokens) {
     return new PromptPart(id, tokens);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ReadingPaceTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ReadingPaceTest.java
@@ -32,7 +32,7 @@
   private static final int BUSY_PERCENT = 80;
 
   private final Random random = new Random();
-  private ReadingFleet fleet;
+  private PrefillFleet fleet;
   private double arrivalsPerStep;
   private double longShare;
 
@@ -44,7 +44,7 @@
       engines[STAGE_ENGINES + index] =
           Requests.engine("d-" + index, Requests.MODEL, EngineStage.DECODE);
     }
-    fleet = new ReadingFleet(NODES, tokensPerMilli, engines);
+    fleet = new PrefillFleet(NODES, tokensPerMilli, engines);
     longShare = longPercent / 100.0;
     double meanTokens = longShare * meanOf(true) + (1 - longShare) * meanOf(false);
     double readPerStep = (double) STAGE_ENGINES * tokensPerMilli * STEP_MILLIS;
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/Requests.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/Requests.java
@@ -94,7 +94,7 @@
     NetworkAddress speaker =
         new NetworkAddress("10.0.0.2", 1 + Math.floorMod(digest.node().hashCode(), 60_000));
     dispatcher.peerLoads().onDigest(digest, PeerLoads.Source.RELAY, speaker, nowNanos);
-    dispatcher.fleet().onTold(digest, nowNanos);
+    dispatcher.fleet().onPeerReport(digest, nowNanos);
   }
 
   static ServingEngine engine(String id, String service, EngineStage stage) {
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineSilenceTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/SilenceDetectorTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** An engine that goes dark is left soon, and one that merely has much to do is not. */
-class EngineSilenceTest {
+class SilenceDetectorTest {
 
   private static final int TICK_MILLIS = 10;
 
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
@@ -88,7 +88,7 @@
   @Test
   void nodeThatGetsNoLeaseLeavesTheOrdersToAnotherForSomeTime() {
     assertThat(wantedWhileOtherSays("", 4)).isPresent();
-    dispatcher.stages().onCannotLead(now());
+    dispatcher.stages().onLeaseDenied(now());
     assertThat(dispatcher.stages().mayOrder(now())).isFalse();
     assertThat(wantedWhileOtherSays("", 15)).isEmpty();
     assertThat(wantedWhileOtherSays("", 10)).isPresent();
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/UnevenFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/UnevenFleetTest.java
@@ -27,13 +27,13 @@
   }
 
   /** Two of three engines are as usual, each third is slower; prompts come at most of what fits. */
-  private static ReadingFleet play(boolean learnsPace, long seed) {
+  private static PrefillFleet play(boolean learnsPace, long seed) {
     ServingEngine[] engines = new ServingEngine[ENGINES + 1];
     for (int index = 0; index < ENGINES; index++) {
       engines[index] = Requests.engine("p-" + index, Requests.MODEL, EngineStage.PREFILL);
     }
     engines[ENGINES] = Requests.engine("d-0", Requests.MODEL, EngineStage.DECODE);
-    ReadingFleet fleet = new ReadingFleet(NODES, TOKENS_PER_MILLI, learnsPace, engines);
+    PrefillFleet fleet = new PrefillFleet(NODES, TOKENS_PER_MILLI, learnsPace, engines);
     fleet.tellAtOnce();
     fleet.slow("p-2", SLOWER);
     fleet.slow("p-5", SLOWER);
@@ -55,7 +55,7 @@
     return times.stream().sorted().skip((long) (part * times.size())).findFirst().orElseThrow();
   }
 
-  private static double slowShare(ReadingFleet fleet) {
+  private static double slowShare(PrefillFleet fleet) {
     double slow = fleet.sentTo("p-2") + fleet.sentTo("p-5");
     double usual = fleet.sentTo("p-0") + fleet.sentTo("p-1");
     usual += fleet.sentTo("p-3") + fleet.sentTo("p-4");
@@ -68,7 +68,7 @@
     double worstLearned = 0;
     double worstEven = 0;
     for (long seed = 1; seed <= SEEDS; seed++) {
-      ReadingFleet learned = play(true, seed);
+      PrefillFleet learned = play(true, seed);
       share += slowShare(learned) / SEEDS;
       worstLearned += percentile(learned.beginMillis(), 0.99) / SEEDS;
       worstEven += percentile(play(false, seed).beginMillis(), 0.99) / SEEDS;
--- a/fallturn-core/src/test/java/org/fallturn/core/limits/NamedLimitTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/limits/NamedLimitTest.java
@@ -50,18 +50,18 @@
 
   @Test
   void whatOthersTellIsBelievedWhereThisNodeHeardNothingItself() {
-    assertThat(limit.onTold(named(2, 30), at(1_000))).isTrue();
+    assertThat(limit.onPeerReport(named(2, 30), at(1_000))).isTrue();
     assertThat(limit.perSecond()).hasValue(2);
-    assertThat(limit.onTold(new LimitWord(0, LimitWord.NEVER, 20), at(1_100))).isTrue();
+    assertThat(limit.onPeerReport(new LimitWord(0, LimitWord.NEVER, 20), at(1_100))).isTrue();
     assertThat(limit.perSecond()).isEmpty();
   }
 
   @Test
   void whatThisNodeHeardItselfGoesBeforeWhatOthersToldAtAboutTheSameTime() {
     limit.onNamed(5, at(900), at(1_000));
-    assertThat(limit.onTold(named(2, 100), at(1_200))).isFalse();
-    assertThat(limit.onTold(new LimitWord(0, LimitWord.NEVER, 50), at(1_200))).isFalse();
-    assertThat(limit.onTold(named(2, 100), at(1_700))).isTrue();
+    assertThat(limit.onPeerReport(named(2, 100), at(1_200))).isFalse();
+    assertThat(limit.onPeerReport(new LimitWord(0, LimitWord.NEVER, 50), at(1_200))).isFalse();
+    assertThat(limit.onPeerReport(named(2, 100), at(1_700))).isTrue();
     assertThat(limit.perSecond()).hasValue(2);
   }
 
@@ -69,7 +69,7 @@
   void oldWordDoesNotBringBackALimitThatHasEnded() {
     limit.onNamed(5, at(900), at(1_000));
     limit.onNoneNamed(at(1_010));
-    assertThat(limit.onTold(named(5, 100), at(1_200))).isFalse();
+    assertThat(limit.onPeerReport(named(5, 100), at(1_200))).isFalse();
     assertThat(limit.perSecond()).isEmpty();
   }
 
--- a/fallturn-core/src/test/java/org/fallturn/core/pace/LearnedPaceTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/pace/PaceEstimatorTest.java
@@ -13,7 +13,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-class LearnedPaceTest {
+class PaceEstimatorTest {
 
   private static final WorkKind KIND = WorkKind.READING;
   private static final long GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
@@ -23,9 +23,9 @@
       Map.of("a", KIND, "b", KIND, "c", KIND, "d", KIND);
 
   private final Random random = new Random(7);
-  private final Map<String, PaceWord> told = new HashMap<>();
-  private final LearnedPace pace =
-      new LearnedPace((id, now) -> told.getOrDefault(id, PaceWord.NONE));
+  private final Map<String, RecentPace> told = new HashMap<>();
+  private final PaceEstimator pace =
+      new PaceEstimator((id, now) -> told.getOrDefault(id, RecentPace.NONE));
   private long now = TimeUnit.SECONDS.toNanos(5);
 
   /** Work that takes 100 ms, give or take a third, times a factor. */
@@ -112,7 +112,7 @@
     rounds(30, 2);
     pace.retain(id -> !id.equals("a"));
     assertThat(slowness("a")).isEqualTo(1);
-    assertThat(pace.lately("a", KIND, now)).isEqualTo(PaceWord.NONE);
+    assertThat(pace.lately("a", KIND, now)).isEqualTo(RecentPace.NONE);
   }
 
   @Test
@@ -133,7 +133,7 @@
   @Test
   void freshWordOfTheEngineGoesBeforeTheEstimate() {
     rounds(20, 1);
-    pace.onOwnWord("a", 2.5, now);
+    pace.onReportedPace("a", 2.5, now);
     assertThat(slowness("a")).isCloseTo(2.5, within(0.1));
     now += TimeUnit.SECONDS.toNanos(3);
     assertThat(slowness("a")).isLessThan(1.2);
@@ -142,10 +142,10 @@
   @Test
   void engineThatLiesAgainAndAgainIsNotBelieved() {
     for (int round = 0; round < 30; round++) {
-      pace.onOwnWord("a", 1, now);
+      pace.onReportedPace("a", 1, now);
       rounds(1, 3);
     }
-    pace.onOwnWord("a", 1, now);
+    pace.onReportedPace("a", 1, now);
     assertThat(slowness("a")).isGreaterThan(1.5);
     assertThat(slowness("b")).isLessThan(1.1);
   }
@@ -156,7 +156,7 @@
     pace.onTick(kinds, now);
     for (int turn = 0; turn < 30; turn++) {
       now += TimeUnit.MILLISECONDS.toNanos(100);
-      told.put("a", new PaceWord(3 * Math.log(2), 3));
+      told.put("a", new RecentPace(3 * Math.log(2), 3));
       pace.onTick(kinds, now);
     }
     assertThat(slowness("a")).isBetween(1.5, 2.1);
@@ -184,15 +184,15 @@
    */
   @Test
   void hundredDecidersOnOneWordTakeNoSingleEngine() {
-    List<LearnedPace> deciders = new ArrayList<>();
+    List<PaceEstimator> deciders = new ArrayList<>();
     for (int node = 0; node < 100; node++) {
-      deciders.add(new LearnedPace((id, at) -> told.getOrDefault(id, PaceWord.NONE)));
+      deciders.add(new PaceEstimator((id, at) -> told.getOrDefault(id, RecentPace.NONE)));
     }
-    told.put("a", PaceWord.of(92, 30));
-    told.put("b", PaceWord.of(105, 30));
-    told.put("c", PaceWord.of(260, 30));
+    told.put("a", RecentPace.of(92, 30));
+    told.put("b", RecentPace.of(105, 30));
+    told.put("c", RecentPace.of(260, 30));
     Map<String, Integer> taken = new HashMap<>();
-    for (LearnedPace decider : deciders) {
+    for (PaceEstimator decider : deciders) {
       for (int turn = 0; turn < 20; turn++) {
         now += TimeUnit.MILLISECONDS.toNanos(100);
         decider.onTick(KINDS, now);
--- a/fallturn-core/src/test/java/org/fallturn/core/quarantine/QuarantineTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/quarantine/QuarantineTest.java
@@ -47,7 +47,7 @@
   }
 
   private static void tell(Quarantine from, Quarantine to, long millis) {
-    from.takeReports(false, at(millis)).forEach(report -> to.onTold(report, at(millis)));
+    from.takeReports(false, at(millis)).forEach(report -> to.onPeerReport(report, at(millis)));
   }
 
   @Test
@@ -135,7 +135,7 @@
     tell(quarantine, other, 310);
     quarantine.onTick(NOT_HEARD, at(2_000));
     other.onTick(NOT_HEARD, at(2_000));
-    other.onGood(CULPRIT, at(2_100));
+    other.onSuccess(CULPRIT, at(2_100));
     tell(other, quarantine, 2_110);
     tell(quarantine, other, 2_120);
     assertThat(standing(CULPRIT, 2_130)).isEqualTo(Standing.CLEAR);
@@ -231,7 +231,7 @@
   @Test
   void nodeThatHasNotHeldAContentBackLeavesItsRowInTheStore() {
     crashOne(quarantine, CULPRIT, "e-1", 0);
-    quarantine.takeReports(false, at(0)).forEach(report -> other.onTold(report, at(40)));
+    quarantine.takeReports(false, at(0)).forEach(report -> other.onPeerReport(report, at(40)));
     crashOne(quarantine, CULPRIT, "e-2", 50);
     crashOne(quarantine, CULPRIT, "e-3", 60);
     quarantine.onStored(CULPRIT.fingerprint(), at(70));
@@ -262,7 +262,7 @@
   void suspicionThatHasEndedIsTakenFromTheStore() {
     crash(quarantine, CULPRIT, 2);
     quarantine.takeUnstoredSuspects();
-    quarantine.onGood(CULPRIT, at(300));
+    quarantine.onSuccess(CULPRIT, at(300));
     assertThat(quarantine.takeReleased()).containsExactly(CULPRIT.fingerprint());
   }
 
@@ -288,7 +288,7 @@
   @Test
   void releasedContentIsTakenFromTheStore() {
     quarantine.onRecalled(CULPRIT.fingerprint(), 1_000, at(0));
-    quarantine.onGood(CULPRIT, at(100));
+    quarantine.onSuccess(CULPRIT, at(100));
     assertThat(quarantine.takeReleased()).containsExactly(CULPRIT.fingerprint());
     assertThat(quarantine.takeReleased()).isEmpty();
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/scaling/ScalePlannerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/scaling/ScalePlannerTest.java
@@ -75,12 +75,12 @@
     }
   }
 
-  private void carryOut(ScaleWish wish, long now) {
-    if (wish instanceof ScaleWish.FixStanding fix) {
-      planner.onStanding(fix.observed());
+  private void carryOut(ScaleAction wish, long now) {
+    if (wish instanceof ScaleAction.RecordInitialCounts fix) {
+      planner.onInitialCounts(fix.observed());
       return;
     }
-    ScaleOrder order = ((ScaleWish.Give) wish).order();
+    ScaleOrder order = ((ScaleAction.SendOrder) wish).order();
     orders.add(order);
     boolean dry = order.loan() && dryZones.contains(order.zone());
     if (!dry) {
--- a/fallturn-core/src/test/java/org/fallturn/core/usage/UsageLedgerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/usage/UsageLedgerTest.java
@@ -26,9 +26,9 @@
   @Test
   void processesOfOneNodeAddUpAndOldNewsOfOneDoNotCount() {
     UsageLedger ledger = new UsageLedger(WINDOWS);
-    ledger.onTold(news("a", 1, 4), NOW);
-    ledger.onTold(news("a", 1, 2), NOW);
-    ledger.onTold(news("a", 2, 1), NOW);
+    ledger.onPeerReport(news("a", 1, 4), NOW);
+    ledger.onPeerReport(news("a", 1, 2), NOW);
+    ledger.onPeerReport(news("a", 2, 1), NOW);
     ledger.count("b", 7, "mill", NOW);
     assertThat(ledger.total(WINDOW)).isEqualTo(Map.of("bakery", 5L, "mill", 1L));
     assertThat(ledger.ofProcess(WINDOW, "b", 7)).isEqualTo(Map.of("mill", 1));
@@ -37,7 +37,7 @@
   @Test
   void windowsOfAWrongClockAreNeitherTakenNorKept() {
     UsageLedger ledger = new UsageLedger(WINDOWS);
-    ledger.onTold(new UsageNews("a", 1, Map.of(WINDOW + 9, Map.of("bakery", 1))), NOW);
+    ledger.onPeerReport(new UsageNews("a", 1, Map.of(WINDOW + 9, Map.of("bakery", 1))), NOW);
     assertThat(ledger.total(WINDOW + 9)).isEmpty();
     ledger.count("b", 1, "bakery", NOW);
     ledger.count("b", 1, "bakery", NOW + 60_000);
@@ -61,7 +61,7 @@
     }
     Collections.shuffle(told, random);
     UsageLedger ledger = new UsageLedger(WINDOWS);
-    told.forEach(one -> ledger.onTold(one, NOW));
+    told.forEach(one -> ledger.onPeerReport(one, NOW));
     assertThat(ledger.total(WINDOW)).isEqualTo(Map.of("bakery", expected));
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/waiting/WaitingRoomTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/waiting/WaitingRequestsTest.java
@@ -2,14 +2,14 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import org.fallturn.core.waiting.WaitingRoom.Waiting;
+import org.fallturn.core.waiting.WaitingRequests.Waiting;
 import org.junit.jupiter.api.Test;
 
-class WaitingRoomTest {
+class WaitingRequestsTest {
 
   private static final long WORK = 10;
 
-  private final WaitingRoom<String> room = new WaitingRoom<>();
+  private final WaitingRequests<String> room = new WaitingRequests<>();
 
   private static Waiting<String> request(String name, int place, boolean returned, long aim) {
     return new Waiting<>(name, "s", place, returned, aim, 1_000, 0, 100);
--- a/fallturn-core/src/test/java/org/fallturn/core/waiting/EvenFillTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/waiting/WaterFillingTest.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.Random;
-import org.fallturn.core.waiting.EvenFill.Vessel;
+import org.fallturn.core.waiting.WaterFilling.EngineFill;
 import org.junit.jupiter.api.Test;
 
-class EvenFillTest {
+class WaterFillingTest {
 
   private static final int ENGINES = 3;
   private static final int SLOTS = 6;
@@ -34,14 +34,14 @@
   }
 
   private static int evenFill(int[] heard, Random random) {
-    List<Vessel> vessels = new ArrayList<>();
+    List<EngineFill> vessels = new ArrayList<>();
     int present = 0;
     for (int running : heard) {
-      vessels.add(new Vessel((double) running / SLOTS, SLOTS));
+      vessels.add(new EngineFill((double) running / SLOTS, SLOTS));
       present += running;
     }
     double unseen = present * TURN_MILLIS / WORK_MILLIS;
-    return EvenFill.choose(vessels, unseen, random.nextDouble());
+    return WaterFilling.choose(vessels, unseen, random.nextDouble());
   }
 
   private static int leaner(int[] heard, int one, int other) {
@@ -97,9 +97,9 @@
    */
   @Test
   void nodesWithTheSameOldWordDoNotOverfillOneEngine() {
-    int least = turnedAway(EvenFillTest::leastLoaded);
-    int two = turnedAway(EvenFillTest::twoChoices);
-    int even = turnedAway(EvenFillTest::evenFill);
+    int least = turnedAway(WaterFillingTest::leastLoaded);
+    int two = turnedAway(WaterFillingTest::twoChoices);
+    int even = turnedAway(WaterFillingTest::evenFill);
     assertThat(even)
         .as("turned away: %s evenly, %s by two choices, %s by least load", even, two, least)
         .isLessThan(two / 3)
@@ -108,9 +108,10 @@
 
   @Test
   void fillsTheEmptierUpToTheLevelOfTheOthers() {
-    List<Vessel> vessels = List.of(new Vessel(2, 6), new Vessel(0, 6), new Vessel(1, 3));
-    assertThat(EvenFill.commonLevel(vessels, 6)).isEqualTo(1);
-    assertThat(EvenFill.commonLevel(vessels, 30)).isEqualTo(3);
-    assertThat(EvenFill.choose(vessels, 6, 0.99)).isEqualTo(1);
+    List<EngineFill> vessels =
+        List.of(new EngineFill(2, 6), new EngineFill(0, 6), new EngineFill(1, 3));
+    assertThat(WaterFilling.commonLevel(vessels, 6)).isEqualTo(1);
+    assertThat(WaterFilling.commonLevel(vessels, 30)).isEqualTo(3);
+    assertThat(WaterFilling.choose(vessels, 6, 0.99)).isEqualTo(1);
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
@@ -136,7 +136,7 @@
   }
 
   /** Another node sent the list of an engine. */
-  void onTold(String engineId, long nowNanos) {
+  void onPeerReport(String engineId, long nowNanos) {
     Surveyed surveyed = engines.get(engineId);
     if (surveyed != null) {
       onKnown(surveyed, nowNanos);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -123,7 +123,8 @@
       log.cacheListed(answer);
       answer
           .parts()
-          .ifPresent(parts -> dispatcher.fleet().onCacheListed(parts, answer.askedAtNanos()));
+          .ifPresent(
+              parts -> dispatcher.fleet().onEngineCacheListing(parts, answer.askedAtNanos()));
       survey.onAnswer(answer, now);
       peers.onListed(answer, now);
       startDelayed(now);
@@ -138,7 +139,7 @@
     } else if (event instanceof DispatchEvent.StageChangeAbandoned abandoned) {
       dispatcher.stages().abandon(abandoned.change());
     } else if (event instanceof DispatchEvent.CannotLead) {
-      dispatcher.stages().onCannotLead(now);
+      dispatcher.stages().onLeaseDenied(now);
       peers.tellNow(now);
     } else if (event instanceof DispatchEvent.StageOrderUnanswered unanswered) {
       dispatcher.stages().onUnanswered(unanswered.change(), now);
@@ -153,11 +154,11 @@
     } else if (event instanceof DispatchEvent.UsageReported reported) {
       runs.onReported(reported.window());
     } else if (event instanceof DispatchEvent.BaselineKnown known) {
-      scaling.onStanding(known.service(), known.byZone());
+      scaling.onInitialCounts(known.service(), known.byZone());
     } else if (event instanceof DispatchEvent.ScaleOrderAnswered answered) {
       scaling.onAnswer(answered.order(), answered.outcome(), now);
     } else if (event instanceof DispatchEvent.PeerMessageReceived heard) {
-      heard.message().usage().ifPresent(runs::onTold);
+      heard.message().usage().ifPresent(runs::onPeerReport);
       peers.onHeard(heard.message(), now);
       startDelayed(now);
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayPlatform.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayPlatform.java
@@ -8,8 +8,8 @@
 import org.fallturn.core.quarantine.QuarantineStore;
 import org.fallturn.core.routing.RoutingImage;
 import org.fallturn.core.routing.ServingEngine;
+import org.fallturn.core.scaling.InitialCountsStore;
 import org.fallturn.core.scaling.ScaleApi;
-import org.fallturn.core.scaling.StandingStore;
 import org.fallturn.core.stages.OrderLeaseStore;
 import org.fallturn.core.usage.UsageApi;
 import org.fallturn.core.usage.UsageStore;
@@ -44,7 +44,7 @@
     ClientFactory<QuarantineStore> quarantine,
     ClientFactory<UsageStore> usage,
     ApiFactory<UsageApi> usageApi,
-    ClientFactory<StandingStore> standing,
+    ClientFactory<InitialCountsStore> standing,
     ApiFactory<ScaleApi> scaleApi,
     String readinessPath) {
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
@@ -119,7 +119,7 @@
     notice
         .perSecond()
         .ifPresent(limit -> notices.limits().onNamed(engine.id(), limit, sentNanos, now));
-    notice.load().ifPresent(load -> notices.loadWords().onSaid(engine.id(), load, now));
+    notice.load().ifPresent(load -> notices.reportedLoads().onLoadReported(engine.id(), load, now));
     notice.unreadable().forEach(text -> logUnreadable(engine, text));
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
@@ -23,7 +23,7 @@
 import org.fallturn.core.limits.LimitDigest;
 import org.fallturn.core.limits.LimitWord;
 import org.fallturn.core.limits.RateDigest;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.peers.KnownPeer;
 import org.fallturn.core.peers.MessageKind;
 import org.fallturn.core.peers.PeerInfo;
@@ -136,12 +136,12 @@
 
   private static void writeLimits(JsonGenerator out, Map<String, EngineDigest> engines)
       throws IOException {
-    if (engines.values().stream().allMatch(engine -> engine.limit().saysNothing())) {
+    if (engines.values().stream().allMatch(engine -> engine.limit().isNegligible())) {
       return;
     }
     out.writeObjectFieldStart("b");
     for (Map.Entry<String, EngineDigest> engine : engines.entrySet()) {
-      if (!engine.getValue().limit().saysNothing()) {
+      if (!engine.getValue().limit().isNegligible()) {
         out.writeStringField(engine.getKey(), text(engine.getValue().limit()));
       }
     }
@@ -150,13 +150,13 @@
 
   private static void writePaces(JsonGenerator out, Map<String, EngineDigest> engines)
       throws IOException {
-    if (engines.values().stream().allMatch(engine -> engine.pace().saysNothing())) {
+    if (engines.values().stream().allMatch(engine -> engine.pace().isNegligible())) {
       return;
     }
     out.writeObjectFieldStart("g");
     for (Map.Entry<String, EngineDigest> engine : engines.entrySet()) {
-      PaceWord pace = engine.getValue().pace();
-      if (!pace.saysNothing()) {
+      RecentPace pace = engine.getValue().pace();
+      if (!pace.isNegligible()) {
         out.writeStringField(engine.getKey(), pace.percent() + "," + pace.tenthsOfSamples());
       }
     }
@@ -293,7 +293,7 @@
     private final Map<String, EngineDigest> engines = new HashMap<>();
     private final Map<String, Integer> leaving = new HashMap<>();
     private final Map<String, LimitDigest> limits = new HashMap<>();
-    private final Map<String, PaceWord> paces = new HashMap<>();
+    private final Map<String, RecentPace> paces = new HashMap<>();
     private final Map<String, BudgetDigest> budgets = new HashMap<>();
     private final Map<String, LearnedSpeed> speeds = new HashMap<>();
     private final List<PlacedPrompt> prompts = new ArrayList<>();
@@ -370,7 +370,7 @@
         String id = in.currentName();
         in.nextToken();
         String[] fields = in.getText().split(",");
-        paces.put(id, PaceWord.of(Integer.parseInt(fields[0]), Integer.parseInt(fields[1])));
+        paces.put(id, RecentPace.of(Integer.parseInt(fields[0]), Integer.parseInt(fields[1])));
       }
     }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerTalk.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerTalk.java
@@ -41,11 +41,11 @@
   /** Another node spoke. */
   void onHeard(PeerMessage message, long nowNanos) {
     knowledge.onMessage(message, nowNanos);
-    dispatcher.fleet().onTold(message.load(), nowNanos);
-    message.crashes().forEach(report -> dispatcher.quarantine().onTold(report, nowNanos));
+    dispatcher.fleet().onPeerReport(message.load(), nowNanos);
+    message.crashes().forEach(report -> dispatcher.quarantine().onPeerReport(report, nowNanos));
     for (CacheListing listing : message.listings()) {
-      dispatcher.fleet().onCacheTold(listing, nowNanos);
-      survey.onTold(listing.engineId(), nowNanos);
+      dispatcher.fleet().onPeerCacheListing(listing, nowNanos);
+      survey.onPeerReport(listing.engineId(), nowNanos);
     }
     if (knowledge.hasTableNews()) {
       tell(nowNanos);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
@@ -19,7 +19,7 @@
         public void onEnded(Exchange exchange, long nowNanos) {}
 
         @Override
-        public void onTold(UsageNews news) {}
+        public void onPeerReport(UsageNews news) {}
 
         @Override
         public void onReported(long window) {}
@@ -38,7 +38,7 @@
   void onEnded(Exchange exchange, long nowNanos);
 
   /** Another process told what it has counted. */
-  void onTold(UsageNews news);
+  void onPeerReport(UsageNews news);
 
   /** The report of a window was taken, by this node or another. */
   void onReported(long window);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/ScaleDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/ScaleDuty.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.fallturn.core.port.table.StoreException;
+import org.fallturn.core.scaling.InitialCountsStore;
+import org.fallturn.core.scaling.ScaleAction;
 import org.fallturn.core.scaling.ScaleApi;
 import org.fallturn.core.scaling.ScaleOrder;
-import org.fallturn.core.scaling.ScaleWish;
-import org.fallturn.core.scaling.StandingStore;
 import org.fallturn.core.usage.DutyOutcome;
 import org.fallturn.node.duty.FaultListener;
 
@@ -22,12 +22,12 @@
   private static final long PAUSE_AFTER_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final DutyContext duty;
-  private final StandingStore standing;
+  private final InitialCountsStore standing;
   private final ScaleApi api;
-  private final JobThread<ScaleWish> jobs = new JobThread<>("scaling", this::carryOut);
+  private final JobThread<ScaleAction> jobs = new JobThread<>("scaling", this::carryOut);
 
   /** A duty that has not begun. */
-  ScaleDuty(DutyContext duty, StandingStore standing, ScaleApi api) {
+  ScaleDuty(DutyContext duty, InitialCountsStore standing, ScaleApi api) {
     this.duty = duty;
     this.standing = standing;
     this.api = api;
@@ -43,16 +43,16 @@
   }
 
   /** Hands a wish over; dropped while another is under way or right after a failure. */
-  void offer(ScaleWish wish) {
+  void offer(ScaleAction wish) {
     jobs.offer(wish);
   }
 
-  private void carryOut(ScaleWish wish) throws InterruptedException {
+  private void carryOut(ScaleAction wish) throws InterruptedException {
     try {
-      if (wish instanceof ScaleWish.FixStanding fix) {
+      if (wish instanceof ScaleAction.RecordInitialCounts fix) {
         Map<String, Integer> fixed = standing.fix(fix.service(), fix.observed());
         duty.events().accept(new DispatchEvent.BaselineKnown(fix.service(), fixed));
-      } else if (wish instanceof ScaleWish.Give give) {
+      } else if (wish instanceof ScaleAction.SendOrder give) {
         give(give.order());
       }
     } catch (StoreException e) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/Scaling.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/Scaling.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.ServiceDefinition;
+import org.fallturn.core.scaling.ScaleAction;
 import org.fallturn.core.scaling.ScaleControl;
 import org.fallturn.core.scaling.ScaleOrder;
-import org.fallturn.core.scaling.ScaleWish;
 import org.fallturn.core.usage.DutyOutcome;
 
 /**
@@ -23,7 +23,7 @@
 
   private final ScaleControl control;
   private final BooleanSupplier listIsNew;
-  private final Consumer<ScaleWish> wishes;
+  private final Consumer<ScaleAction> wishes;
   private boolean led;
   private long leadsSinceNanos;
 
@@ -33,7 +33,7 @@
    * @param listIsNew whether the list of engines was confirmed lately
    * @param wishes takes what is to be done, over and over until it was answered
    */
-  Scaling(ScaleControl control, BooleanSupplier listIsNew, Consumer<ScaleWish> wishes) {
+  Scaling(ScaleControl control, BooleanSupplier listIsNew, Consumer<ScaleAction> wishes) {
     this.control = control;
     this.listIsNew = listIsNew;
     this.wishes = wishes;
@@ -47,8 +47,8 @@
     control.setServices(services);
   }
 
-  void onStanding(String service, Map<String, Integer> byZone) {
-    control.onStanding(service, byZone);
+  void onInitialCounts(String service, Map<String, Integer> byZone) {
+    control.onInitialCounts(service, byZone);
   }
 
   void onAnswer(ScaleOrder order, DutyOutcome outcome, long nowNanos) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
@@ -132,8 +132,8 @@
   }
 
   @Override
-  public void onTold(UsageNews news) {
-    ledger.onTold(news, clock.unixMillis());
+  public void onPeerReport(UsageNews news) {
+    ledger.onPeerReport(news, clock.unixMillis());
   }
 
   @Override
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/CacheSurveyTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/CacheSurveyTest.java
@@ -67,8 +67,8 @@
   void ticksWithoutAnEngineThatIsDueLookNobodyUp() {
     survey.onDirectory(
         listed(engine("d-1", EngineStage.DECODE), engine("p-1", EngineStage.PREFILL)), START);
-    survey.onTold("d-1", START);
-    survey.onTold("p-1", START);
+    survey.onPeerReport("d-1", START);
+    survey.onPeerReport("p-1", START);
     for (int millis = 0; millis < 5_000; millis += 100) {
       survey.onTick(after(millis));
     }
@@ -90,7 +90,7 @@
     survey.onTick(after(1));
     assertThat(asked).containsExactly("d-1");
     assertThat(survey.wantsListings(after(2))).isTrue();
-    survey.onTold("d-2", after(300));
+    survey.onPeerReport("d-2", after(300));
     survey.onTick(after(700));
     assertThat(asked).containsExactly("d-1", "d-3");
     survey.onAnswer(answer("d-1", true), after(710));
@@ -152,7 +152,7 @@
     survey.onDirectory(listed(first), START);
     assertThat(survey.shouldDelayPrompts(START)).isTrue();
     assertThat(survey.shouldDelayPrompts(after(1_000))).isFalse();
-    survey.onTold("d-1", after(10));
+    survey.onPeerReport("d-1", after(10));
     assertThat(survey.shouldDelayPrompts(after(11))).isFalse();
     survey.onDirectory(listed(first, engine("d-2", EngineStage.DECODE)), START);
     assertThat(survey.shouldDelayPrompts(after(12))).isFalse();
@@ -163,8 +163,8 @@
     own.add("d-1");
     survey.onDirectory(
         listed(engine("d-1", EngineStage.DECODE), engine("d-2", EngineStage.DECODE)), START);
-    survey.onTold("d-1", START);
-    survey.onTold("d-2", START);
+    survey.onPeerReport("d-1", START);
+    survey.onPeerReport("d-2", START);
     survey.onTick(after(4_900));
     assertThat(asked).isEmpty();
     survey.onTick(after(5_000));
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
@@ -36,7 +36,7 @@
 import org.fallturn.core.quarantine.RequestFingerprint;
 import org.fallturn.core.routing.EngineStage;
 import org.fallturn.core.routing.ServingEngine;
-import org.fallturn.core.scaling.ScaleWish;
+import org.fallturn.core.scaling.ScaleAction;
 import org.fallturn.core.stages.OrderLease;
 import org.fallturn.core.stages.OrderLeaseReading;
 import org.fallturn.core.stages.OrderLeaseRow;
@@ -146,7 +146,7 @@
   void scaling() {
     try (ScaleDuty duty = new ScaleDuty(context(), this::fix, null)) {
       duty.start(listener);
-      awaitGoesOn("scaling", () -> duty.offer(new ScaleWish.FixStanding("s", Map.of())));
+      awaitGoesOn("scaling", () -> duty.offer(new ScaleAction.RecordInitialCounts("s", Map.of())));
     }
   }
 
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
@@ -16,7 +16,7 @@
 import org.fallturn.core.limits.LimitDigest;
 import org.fallturn.core.limits.LimitWord;
 import org.fallturn.core.limits.RateDigest;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.peers.MessageKind;
 import org.fallturn.core.peers.PeerMessage;
 import org.fallturn.core.port.feed.FeedAnswer;
@@ -80,7 +80,7 @@
     PeerMessage message = codec.decode(bytes);
     Map<String, EngineDigest> engines = new HashMap<>(message.load().engines());
     LimitDigest limit = new LimitDigest(new RateDigest(3, 33, 1, 9), new LimitWord(2.2, 40, 700));
-    PaceWord pace = PaceWord.of(130, 24);
+    RecentPace pace = RecentPace.of(130, 24);
     engines.replaceAll((id, digest) -> digest.withLeaving(2).withLimit(limit).withPace(pace));
     LoadDigest load = message.load();
     PeerMessage later =
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerCodecTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerCodecTest.java
@@ -16,7 +16,7 @@
 import org.fallturn.core.dispatch.PromptPart;
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.limits.BudgetDigest;
-import org.fallturn.core.pace.PaceWord;
+import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.peers.KnownPeer;
 import org.fallturn.core.peers.MessageKind;
 import org.fallturn.core.peers.PeerInfo;
@@ -124,8 +124,8 @@
     for (int engine = 0; engine < engineCount; engine++) {
       EngineDigest digest = new EngineDigest(16, 9, List.of(0L, 12_000L + engine), 0, 0, 120);
       String id = "i-7f3a91c2" + engine;
-      engines.put(id, digest.withPace(PaceWord.of(104, nodes)));
-      uneven.put(id, engine % 3 == 0 ? digest.withPace(PaceWord.of(130, nodes)) : digest);
+      engines.put(id, digest.withPace(RecentPace.of(104, nodes)));
+      uneven.put(id, engine % 3 == 0 ? digest.withPace(RecentPace.of(130, nodes)) : digest);
     }
     int plain = codec.encode(message(engines)).length;
     int longer = codec.encode(message(uneven)).length - plain;
--- a/fallturn-rehearsal/src/test/java/org/fallturn/rehearsal/emulator/EarlierRowsTest.java
+++ b/fallturn-rehearsal/src/test/java/org/fallturn/rehearsal/emulator/EarlierRowsTest.java
@@ -17,9 +17,9 @@
 import org.fallturn.core.stages.OrderLeaseReading;
 import org.fallturn.core.stages.OrderLeaseRow;
 import org.fallturn.core.usage.UsageReport;
+import org.fallturn.platform.InitialCountsTable;
 import org.fallturn.platform.OrderLeaseTable;
 import org.fallturn.platform.QuarantineTable;
-import org.fallturn.platform.StandingTable;
 import org.fallturn.platform.UsageTable;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -119,7 +119,7 @@
 
   @Test
   void theStandingNumbersOfAnEarlierBuildCount() throws Exception {
-    StandingTable standing = new StandingTable(client, store.address());
+    InitialCountsTable standing = new InitialCountsTable(client, store.address());
     assertThat(standing.fix("llm", Map.of("zone-1", 1)))
         .isEqualTo(Map.of("zone-1", 12, "zone-2", 13));
   }
