--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationRoom.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
@@ -23,7 +23,7 @@
  * engine is given some beyond its slots all the same, so that it does not stand idle until nodes
  * hear that it has room. One thread calls.
  */
-final class ApplicationRoom {
+final class ApplicationQueue {
 
   private static final double NANOS_PER_MILLI = 1e6;
 
@@ -50,7 +50,7 @@
    */
   record Room(double free, double most) {}
 
-  ApplicationRoom(EngineSelector selector) {
+  ApplicationQueue(EngineSelector selector) {
     this.selector = selector;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptPatience.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeout.java
@@ -9,7 +9,7 @@
  * @param fair whether the engine should have answered within it; not when the caller's own time
  *     bounds it, so that silence then says nothing about the engine
  */
-public record AttemptPatience(Duration duration, boolean fair) {
+public record AttemptTimeout(Duration duration, boolean fair) {
 
   /** What silence for that long means. */
   public AttemptOutcome whenOver() {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Patience.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/AttemptTimeoutPolicy.java
@@ -7,7 +7,7 @@
  * How long an attempt may go without a sign of an answer before it is asked whether it is stuck. A
  * request that could not be sent again is waited for until its time is over. Immutable.
  */
-final class Patience {
+final class AttemptTimeoutPolicy {
 
   private static final double RUN_TARGETS = 2.0;
   private static final double RUN_FACTOR = 2.0;
@@ -19,19 +19,19 @@
    *
    * @param expectedMillis how long it should take
    */
-  AttemptPatience forPrefill(double expectedMillis, long remainingNanos) {
+  AttemptTimeout forPrefill(double expectedMillis, long remainingNanos) {
     long wanted =
         PREFILL_BASE_NANOS + Duration.ofMillis((long) (PREFILL_FACTOR * expectedMillis)).toNanos();
     return within(wanted, remainingNanos);
   }
 
-  private static AttemptPatience within(long wantedNanos, long mostNanos) {
+  private static AttemptTimeout within(long wantedNanos, long mostNanos) {
     long most = Math.max(0, mostNanos);
-    return new AttemptPatience(Duration.ofNanos(Math.min(wantedNanos, most)), wantedNanos <= most);
+    return new AttemptTimeout(Duration.ofNanos(Math.min(wantedNanos, most)), wantedNanos <= most);
   }
 
   /** For a request that runs. */
-  AttemptPatience forRun(RequestProgress progress, double expectedMillis, long remainingNanos) {
+  AttemptTimeout forRun(RequestProgress progress, double expectedMillis, long remainingNanos) {
     Route route = progress.envelope().route();
     if (!progress.mayGoElsewhere()) {
       return within(Long.MAX_VALUE, remainingNanos);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Decision.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Decision.java
@@ -14,15 +14,15 @@
    * @param engine the engine
    * @param fetchFrom engine whose cached parts it copies first
    * @param urgency order among the engine's requests; 0 is first
-   * @param expectation what it was decided from
-   * @param patience how long to wait for it
+   * @param estimate what it was decided from
+   * @param timeout how long to wait for it
    */
   record Prefill(
       ServingEngine engine,
       Optional<ServingEngine> fetchFrom,
       int urgency,
-      Expectation expectation,
-      AttemptPatience patience)
+      PlacementEstimate estimate,
+      AttemptTimeout timeout)
       implements Decision {}
 
   /**
@@ -32,16 +32,16 @@
    * @param source where it fetches the prompt's KV cache; empty when it reads the prompt itself
    * @param fetchFrom engine whose cached parts it copies first
    * @param urgency order among the engine's requests; 0 is first
-   * @param expectation what it was decided from
-   * @param patience how long to wait for the head of its answer
+   * @param estimate what it was decided from
+   * @param timeout how long to wait for the head of its answer
    */
   record Run(
       ServingEngine engine,
       Optional<CacheSource> source,
       Optional<ServingEngine> fetchFrom,
       int urgency,
-      Expectation expectation,
-      AttemptPatience patience)
+      PlacementEstimate estimate,
+      AttemptTimeout timeout)
       implements Decision {}
 
   /**
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -12,7 +12,7 @@
 import org.fallturn.core.pace.PaceChange;
 import org.fallturn.core.pace.WorkKind;
 import org.fallturn.core.quarantine.Quarantine;
-import org.fallturn.core.quarantine.Standing;
+import org.fallturn.core.quarantine.QuarantineStatus;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineProfile;
 import org.fallturn.core.routing.RoutingImage;
@@ -40,15 +40,15 @@
   private final PromptPlacement prompts;
   private final StageControl stages;
   private final SilenceDetector silence;
-  private final Patience patience = new Patience();
+  private final AttemptTimeoutPolicy timeout = new AttemptTimeoutPolicy();
   private final PrefillSpeeds speeds;
   private final PaceObserver pace;
   private final FleetView fleet;
   private final ServiceSplit split = new ServiceSplit();
   private final RetryRules retries;
   private final Refusals refusals;
-  private final ApplicationRoom room;
-  private final List<Ended> shed = new ArrayList<>();
+  private final ApplicationQueue room;
+  private final List<EndedWait> shed = new ArrayList<>();
   private final Quarantine quarantine;
   private Optional<RoutingImage> routing = Optional.empty();
   private EngineDirectory listed = EngineDirectory.empty();
@@ -65,7 +65,7 @@
     this.pace = new PaceObserver(peerLoads, speeds::of, parameters.learnsPace());
     this.selector =
         new EngineSelector(parameters.zone(), peerLoads, notices, pace.pace(), lastResortNanos);
-    this.room = new ApplicationRoom(selector);
+    this.room = new ApplicationQueue(selector);
     this.fleet = new FleetView(selector, peerLoads, notices, speeds, pace, this::cacheTokens);
     this.prompts = new PromptPlacement(selector, parameters.zone());
     this.silence = new SilenceDetector(selector, peerLoads, speeds::of, this::profile);
@@ -271,10 +271,10 @@
   /**
    * Why an attempt without a sign of an answer had better be ended; empty when it is waited for.
    *
-   * @param patience of the attempt
+   * @param timeout of the attempt
    */
-  public Optional<StuckReason> stuck(RequestProgress progress, Duration patience, long nowNanos) {
-    return silence.stuck(progress, patience, nowNanos);
+  public Optional<StuckReason> stuck(RequestProgress progress, Duration timeout, long nowNanos) {
+    return silence.stuck(progress, timeout, nowNanos);
   }
 
   /** An attempt ended without a whole, good answer. */
@@ -285,7 +285,7 @@
     if (!outcome.mayHaveReached()) {
       progress.takeBackSend();
     }
-    if (!quarantine.standing(progress.content(), nowNanos).sendable()) {
+    if (!quarantine.status(progress.content(), nowNanos).sendable()) {
       return outcome == AttemptOutcome.ANSWERED_FAILURE
           ? refusals.after(progress, outcome, Optional.empty())
           : refusals.quarantined(progress);
@@ -373,7 +373,7 @@
   }
 
   private Decision afterFailedRun(RequestProgress progress, AttemptOutcome outcome, long nowNanos) {
-    if (progress.arrivals() > 1 || outcome.mayHaveRun()) {
+    if (progress.runSends() > 1 || outcome.mayHaveRun()) {
       progress.dropSource();
     }
     boolean hasCandidate = !selector.runCandidates(progress, nowNanos).isEmpty();
@@ -406,11 +406,11 @@
    * sent on under every new id, it ends all that runs beside it, 20 engines in 14 s.
    */
   private Decision place(RequestProgress progress, boolean mayPrefill, long nowNanos) {
-    Standing standing = quarantine.standing(progress.content(), nowNanos);
-    if (!standing.sendable()) {
+    QuarantineStatus status = quarantine.status(progress.content(), nowNanos);
+    if (!status.sendable()) {
       return refusals.quarantined(progress);
     }
-    progress.isolate(standing == Standing.SUSPECTED);
+    progress.isolate(status == QuarantineStatus.SUSPECTED);
     Decision decision = placeByCost(progress, mayPrefill && !progress.isolated(), nowNanos);
     if (!(decision instanceof Decision.Refuse)) {
       quarantine.onSent(progress.content(), progress.envelope().requestId());
@@ -475,25 +475,25 @@
       if (left == progress) {
         decision = refusal;
       } else {
-        shed.add(new Ended(left, refusal));
+        shed.add(new EndedWait(left, refusal));
       }
     }
     return decision;
   }
 
   /** A request that no longer waits, and what is next for it. */
-  public record Ended(RequestProgress progress, Decision decision) {}
+  public record EndedWait(RequestProgress progress, Decision decision) {}
 
   /** Requests whose wait for an engine is over; called at each tick and when anything happened. */
-  public List<Ended> takeEndedWaits(long nowNanos) {
+  public List<EndedWait> takeEndedWaits(long nowNanos) {
     if (room.waiting().size() == 0 && shed.isEmpty()) {
       return List.of();
     }
-    List<Ended> ended = new ArrayList<>(shed);
+    List<EndedWait> ended = new ArrayList<>(shed);
     shed.clear();
     for (RequestProgress late : room.takeEnded(nowNanos)) {
       ended.add(
-          new Ended(
+          new EndedWait(
               late,
               refusals.notRun(
                   ErrorKind.DEADLINE_UNREACHABLE,
@@ -503,7 +503,7 @@
     for (String service : room.waiting().services()) {
       Optional<RequestProgress> next = room.takeNext(service, nowNanos);
       while (next.isPresent()) {
-        ended.add(new Ended(next.get(), place(next.get(), false, nowNanos)));
+        ended.add(new EndedWait(next.get(), place(next.get(), false, nowNanos)));
         next = room.takeNext(service, nowNanos);
       }
     }
@@ -511,8 +511,8 @@
   }
 
   /** This node stops: nothing waits here from now on. */
-  public List<Ended> closeWaits() {
-    return room.close().stream().map(one -> new Ended(one, refusals.stopping())).toList();
+  public List<EndedWait> closeWaits() {
+    return room.close().stream().map(one -> new EndedWait(one, refusals.stopping())).toList();
   }
 
   /** How many requests wait at this node for room at an engine. */
@@ -547,36 +547,35 @@
       selector.sizes(progress.service()).onRead(plan.readTokens());
     }
     if (!plan.prefill()) {
-      return run(progress, engine, plan.fetchFrom(), plan.expectation(), plan.urgency(), nowNanos);
+      return run(progress, engine, plan.fetchFrom(), plan.estimate(), plan.urgency(), nowNanos);
     }
-    AttemptPatience patienceForIt =
-        patience.forPrefill(plan.millis(), progress.envelope().remainingNanos(nowNanos));
-    progress.beginPrefill(engine, plan.expectation(), plan.urgency(), nowNanos);
+    AttemptTimeout patienceForIt =
+        timeout.forPrefill(plan.millis(), progress.envelope().remainingNanos(nowNanos));
+    progress.beginPrefill(engine, plan.estimate(), plan.urgency(), nowNanos);
     selector.load(engine).add(progress);
     return new Decision.Prefill(
-        engine, plan.fetchFrom(), progress.level(), plan.expectation(), patienceForIt);
+        engine, plan.fetchFrom(), progress.level(), plan.estimate(), patienceForIt);
   }
 
   private Decision runApplication(RequestProgress progress, ServingEngine engine, long nowNanos) {
     Urgency urgency = progress.late(nowNanos) ? Urgency.LATE : Urgency.IN_TIME;
     pace.onPlaced(progress, engine, selector.running(engine, nowNanos), nowNanos);
-    return run(progress, engine, Optional.empty(), Expectation.NONE, urgency, nowNanos);
+    return run(progress, engine, Optional.empty(), PlacementEstimate.NONE, urgency, nowNanos);
   }
 
   private Decision run(
       RequestProgress progress,
       ServingEngine engine,
       Optional<ServingEngine> fetchFrom,
-      Expectation expectation,
+      PlacementEstimate estimate,
       Urgency urgency,
       long nowNanos) {
-    progress.beginRun(engine, expectation, urgency, nowNanos);
+    progress.beginRun(engine, estimate, urgency, nowNanos);
     selector.load(engine).add(progress);
-    AttemptPatience patienceForIt =
-        patience.forRun(
-            progress, expectation.millis(), progress.envelope().remainingNanos(nowNanos));
+    AttemptTimeout patienceForIt =
+        timeout.forRun(progress, estimate.millis(), progress.envelope().remainingNanos(nowNanos));
     return new Decision.Run(
-        engine, progress.source(), fetchFrom, progress.level(), expectation, patienceForIt);
+        engine, progress.source(), fetchFrom, progress.level(), estimate, patienceForIt);
   }
 
   private Optional<EngineProfile> profile(String service) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLimits.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Function;
+import org.fallturn.core.limits.AnnouncedLimit;
+import org.fallturn.core.limits.AnnouncedLimitDigest;
 import org.fallturn.core.limits.LimitDigest;
-import org.fallturn.core.limits.LimitWord;
-import org.fallturn.core.limits.NamedLimit;
 import org.fallturn.core.limits.RateDigest;
 import org.fallturn.core.limits.SharedRate;
 import org.fallturn.core.membership.RendezvousHash;
@@ -36,7 +36,7 @@
 
   /** The limit of one engine; whoever uses it holds its lock. */
   private static final class Limited {
-    private final NamedLimit limit = new NamedLimit();
+    private final AnnouncedLimit limit = new AnnouncedLimit();
     private SharedRate rate;
 
     boolean inForce() {
@@ -54,34 +54,34 @@
   }
 
   /** An answer to a request that was sent at a moment names a limit. */
-  public void onNamed(String engineId, double perSecond, long sentNanos, long nowNanos) {
+  public void onLimitAnnounced(String engineId, double perSecond, long sentNanos, long nowNanos) {
     Limited engine = engines.computeIfAbsent(engineId, id -> new Limited());
     synchronized (engine) {
-      boolean changed = engine.limit.onNamed(perSecond, sentNanos, nowNanos);
+      boolean changed = engine.limit.onLimitAnnounced(perSecond, sentNanos, nowNanos);
       takeChange(engineId, engine, changed, NoticeSource.ANSWER);
     }
   }
 
   /** A good and whole answer to a request that was sent at a moment names none. */
-  public void onNoneNamed(String engineId, long sentNanos) {
+  public void onNoLimitAnnounced(String engineId, long sentNanos) {
     Limited engine = engines.get(engineId);
     if (engine == null) {
       return;
     }
     synchronized (engine) {
-      boolean changed = engine.limit.onNoneNamed(sentNanos);
+      boolean changed = engine.limit.onNoLimitAnnounced(sentNanos);
       takeChange(engineId, engine, changed, NoticeSource.ANSWER);
     }
   }
 
   /** Other nodes tell what they know. */
-  void onPeerReport(String engineId, LimitWord word, long nowNanos) {
-    if (!word.named() && !engines.containsKey(engineId)) {
+  void onPeerReport(String engineId, AnnouncedLimitDigest digest, long nowNanos) {
+    if (!digest.announced() && !engines.containsKey(engineId)) {
       return;
     }
     Limited engine = engines.computeIfAbsent(engineId, id -> new Limited());
     synchronized (engine) {
-      boolean changed = engine.limit.onPeerReport(word, nowNanos);
+      boolean changed = engine.limit.onPeerReport(digest, nowNanos);
       takeChange(engineId, engine, changed, NoticeSource.PEER);
     }
   }
@@ -106,12 +106,12 @@
     return taken;
   }
 
-  /** Engines that have named a limit, also one that has ended. */
+  /** Engines that have announced a limit, also one that has ended. */
   Set<String> known() {
     return Set.copyOf(engines.keySet());
   }
 
-  /** Whether an engine has named a limit that is in force. */
+  /** Whether an engine has announced a limit that is in force. */
   public boolean limited(String engineId) {
     return inForce(engineId, engine -> true, false);
   }
@@ -193,7 +193,7 @@
     }
     synchronized (engine) {
       RateDigest rate = engine.inForce() ? engine.rate.digest(nowNanos) : RateDigest.NONE;
-      return new LimitDigest(rate, engine.limit.word(nowNanos));
+      return new LimitDigest(rate, engine.limit.digest(nowNanos));
     }
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineLoad.java
@@ -48,7 +48,7 @@
   /** The answer to a request begins. */
   void onBegan(RequestProgress progress) {
     promptRead(progress);
-    if (progress.begin() && progress.longAnswer()) {
+    if (progress.beginAnswer() && progress.longAnswer()) {
       streams++;
     }
   }
@@ -117,7 +117,7 @@
     forgetPrompt(read);
     for (RequestProgress other : unread) {
       if (other.sentNanos() - read.sentNanos() < 0 && other.level() <= read.level()) {
-        other.overtaken();
+        other.onOvertaken();
       }
     }
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -131,7 +131,7 @@
     return load(engine).streams() + peerLoads.streams(engine.id(), nowNanos);
   }
 
-  /** The stage an engine changes to by this node's order or another's; NONE otherwise. */
+  /** The stage an engine isChangingStage to by this node's order or another's; NONE otherwise. */
   EngineStage changingTo(ServingEngine engine, long nowNanos) {
     EngineStage own = changing.stageOf(engine.id());
     if (own != EngineStage.NONE || !peerLoads.changing(engine.id(), nowNanos)) {
@@ -154,7 +154,7 @@
   }
 
   /** Whether this node has ordered the engine to change. */
-  boolean changes(String engineId) {
+  boolean isChangingStage(String engineId) {
     return changing.stageOf(engineId) != EngineStage.NONE;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -52,11 +52,11 @@
         load.streams(),
         load.backlog().toList(),
         load.health().warnsOthers(nowNanos) ? 1 : 0,
-        selector.changes(id) ? 1 : 0,
+        selector.isChangingStage(id) ? 1 : 0,
         heardAgoMillis(load, nowNanos),
         leavesUnlisted(id, listed) ? 1 : 0,
         notices.limits().digest(id, nowNanos),
-        pace.lately(id, nowNanos));
+        pace.recent(id, nowNanos));
   }
 
   /** Asked of all engines at each turn, most of which this node does not use just now. */
@@ -64,10 +64,10 @@
     return !load.idle()
         || load.heardWithin(TOLD_SIGN_NANOS, nowNanos)
         || load.health().warnsOthers(nowNanos)
-        || selector.changes(id)
+        || selector.isChangingStage(id)
         || leavesUnlisted(id, listed)
         || !notices.limits().digest(id, nowNanos).isNegligible()
-        || !pace.lately(id, nowNanos).isNegligible();
+        || !pace.recent(id, nowNanos).isNegligible();
   }
 
   /** Whether an engine leaves without saying so in its entry: others may not know it yet. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/OverloadPolicy.java
@@ -89,7 +89,7 @@
   }
 
   private static boolean firstTry(RequestProgress progress, long nowNanos) {
-    boolean neverSent = progress.arrivals() == 0 && progress.prefillAttempts() == 0;
+    boolean neverSent = progress.runSends() == 0 && progress.prefillAttempts() == 0;
     return neverSent && !progress.envelope().hasReturned(nowNanos);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PaceObserver.java
@@ -76,11 +76,11 @@
   }
 
   /** What this node's requests say of an engine, for the other nodes. */
-  RecentPace lately(String engineId, long nowNanos) {
+  RecentPace recent(String engineId, long nowNanos) {
     WorkKind kind = kinds.get(engineId);
     return !enabled || kind == null
         ? RecentPace.NONE
-        : learned.lately(engineId, kind, nowNanos).dropIfNegligible();
+        : learned.recent(engineId, kind, nowNanos).dropIfNegligible();
   }
 
   /** Engines whose state has changed since the last call. */
@@ -107,7 +107,7 @@
     String length = plan.readTokens() < SHORT_TOKENS ? "short" : "long";
     String work = engine.service() + ' ' + engine.stage() + ' ' + length;
     double even = plan.millis() - (plan.slowness() - 1) * reading;
-    progress.expect(new ExpectedWork(WorkKind.READING, work, even, weight, forecast));
+    progress.setExpected(new ExpectedWork(WorkKind.READING, work, even, weight, forecast));
   }
 
   /**
@@ -123,7 +123,8 @@
     PaceForecast forecast = learned.forecast(engine.id(), WorkKind.APPLICATION, nowNanos);
     String work = engine.service() + ' ' + progress.envelope().route().name();
     double rounds = Math.max(1, (running + 1.0) / Math.max(1, engine.slots()));
-    progress.expect(new ExpectedWork(WorkKind.APPLICATION, work, rounds, 1 / rounds, forecast));
+    progress.setExpected(
+        new ExpectedWork(WorkKind.APPLICATION, work, rounds, 1 / rounds, forecast));
   }
 
   /** The work that was sent has been done: the prompt was read, or the answer began. */
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PeerLoads.java
@@ -278,7 +278,7 @@
   }
 
   private static void addBudgets(Map<String, BudgetDigest> all, Heard heard, long nowNanos) {
-    if (nowNanos - heard.atNanos < SharedBudget.TOLD_LIFETIME_NANOS) {
+    if (nowNanos - heard.atNanos < SharedBudget.DIGEST_LIFETIME_NANOS) {
       heard
           .digest
           .budgets()
@@ -299,7 +299,7 @@
 
   private void refresh(long nowNanos) {
     boolean old = nowNanos - sumsAtNanos >= SUMS_LIFETIME_NANOS;
-    if (sumsStale && old || nowNanos - sumsAtNanos >= SharedBudget.TOLD_LIFETIME_NANOS) {
+    if (sumsStale && old || nowNanos - sumsAtNanos >= SharedBudget.DIGEST_LIFETIME_NANOS) {
       addUp(nowNanos);
     }
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Expectation.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PlacementEstimate.java
@@ -8,8 +8,8 @@
  * @param aheadTokens prompt tokens that wait at the engine before
  * @param pacePercent how long reading takes there, 100 as usual
  */
-public record Expectation(double millis, int readTokens, long aheadTokens, int pacePercent) {
+public record PlacementEstimate(double millis, int readTokens, long aheadTokens, int pacePercent) {
 
   /** Nothing is expected of an application request. */
-  public static final Expectation NONE = new Expectation(0, 0, 0, 100);
+  public static final PlacementEstimate NONE = new PlacementEstimate(0, 0, 0, 100);
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PromptPlacement.java
@@ -127,8 +127,9 @@
       double cost,
       double slowness) {
 
-    Expectation expectation() {
-      return new Expectation(millis, readTokens, aheadTokens, (int) Math.round(PERCENT * slowness));
+    PlacementEstimate estimate() {
+      return new PlacementEstimate(
+          millis, readTokens, aheadTokens, (int) Math.round(PERCENT * slowness));
     }
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
@@ -17,7 +17,7 @@
   private final RequestContent content;
   private final Set<String> triedEngines = new HashSet<>();
   private String service = "";
-  private int arrivals;
+  private int runSends;
   private int possibleRuns;
   private int prefillAttempts;
   private int sends;
@@ -29,7 +29,7 @@
   private long sentNanos;
   private Urgency urgency = Urgency.IN_TIME;
   private OptionalLong engineHeardNanos = OptionalLong.empty();
-  private int overtakenBy;
+  private int overtakenCount;
   private boolean begun;
   private boolean isolated;
   private CacheSource source;
@@ -81,8 +81,8 @@
   }
 
   /** How often it was sent to be run. */
-  public int arrivals() {
-    return arrivals;
+  public int runSends() {
+    return runSends;
   }
 
   /** How often a prompt was sent to be read ahead. */
@@ -147,17 +147,17 @@
   }
 
   /** Whether the engine was told to let those go first that can be answered in time. */
-  boolean goesBehind() {
+  boolean sentAsLate() {
     return urgency.late();
   }
 
   /** A prompt that was sent to the engine later, and is no more urgent, has been read before it. */
-  void overtaken() {
-    overtakenBy++;
+  void onOvertaken() {
+    overtakenCount++;
   }
 
   /** The answer of the present attempt begins; false when it had begun before. */
-  boolean begin() {
+  boolean beginAnswer() {
     boolean first = !begun;
     begun = true;
     return first;
@@ -181,9 +181,9 @@
     return begun;
   }
 
-  /** How many have overtaken the present attempt. */
-  int overtakenBy() {
-    return overtakenBy;
+  /** How many have onOvertaken the present attempt. */
+  int overtakenCount() {
+    return overtakenCount;
   }
 
   /** The prompt has been read. */
@@ -195,26 +195,28 @@
     service = name;
   }
 
-  void beginPrefill(ServingEngine chosen, Expectation expectation, Urgency order, long nowNanos) {
-    begin(chosen, expectation, order, nowNanos);
+  void beginPrefill(
+      ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
+    beginAnswer(chosen, estimate, order, nowNanos);
     prefilling = true;
     prefillAttempts++;
   }
 
-  void beginRun(ServingEngine chosen, Expectation expectation, Urgency order, long nowNanos) {
-    begin(chosen, expectation, order, nowNanos);
+  void beginRun(ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
+    beginAnswer(chosen, estimate, order, nowNanos);
     prefilling = false;
-    arrivals++;
+    runSends++;
     possibleRuns++;
   }
 
-  private void begin(ServingEngine chosen, Expectation expectation, Urgency order, long nowNanos) {
+  private void beginAnswer(
+      ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
     engine = chosen;
-    aheadTokens = expectation.aheadTokens();
-    chargedTokens = expectation.readTokens();
+    aheadTokens = estimate.aheadTokens();
+    chargedTokens = estimate.readTokens();
     urgency = order;
     engineHeardNanos = OptionalLong.empty();
-    overtakenBy = 0;
+    overtakenCount = 0;
     begun = false;
     sentNanos = nowNanos;
     sends++;
@@ -222,7 +224,7 @@
   }
 
   /** What the next attempt should take. */
-  void expect(ExpectedWork work) {
+  void setExpected(ExpectedWork work) {
     expected = work;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RetryRules.java
@@ -94,7 +94,7 @@
       return false;
     }
     if (progress.possibleRuns() >= route.maxAttempts()
-        || progress.arrivals() >= route.maxAttempts() + MAX_ARRIVALS_BEYOND_RUNS) {
+        || progress.runSends() >= route.maxAttempts() + MAX_ARRIVALS_BEYOND_RUNS) {
       return false;
     }
     if (progress.envelope().remainingNanos(nowNanos) < MIN_TIME_FOR_ATTEMPT.toNanos()) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/SilenceDetector.java
@@ -187,7 +187,7 @@
     if (passedOver(progress, patience, nowNanos)) {
       return Optional.of(StuckReason.CONNECTION_SILENT);
     }
-    return progress.overtakenBy() >= OVERTAKEN_WHEN_LOST
+    return progress.overtakenCount() >= OVERTAKEN_WHEN_LOST
         ? Optional.of(StuckReason.OVERTAKEN)
         : Optional.empty();
   }
@@ -210,7 +210,7 @@
    */
   private static boolean passedOver(RequestProgress progress, Duration patience, long nowNanos) {
     OptionalLong heard = progress.engineHeardNanos();
-    return !progress.goesBehind()
+    return !progress.sentAsLate()
         && heard.isPresent()
         && nowNanos - heard.getAsLong() >= PATIENCES_WHEN_LOST * patience.toNanos();
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StuckReason.java
@@ -18,7 +18,7 @@
    *
    * @param patience of the attempt
    */
-  public AttemptOutcome outcome(AttemptPatience patience) {
+  public AttemptOutcome outcome(AttemptTimeout patience) {
     return this == ENGINE_SILENT ? AttemptOutcome.SILENT : patience.whenOver();
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/NamedLimit.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/AnnouncedLimit.java
@@ -5,14 +5,14 @@
 
 /**
  * Which limit is in force, by answers that name it or do not, and by what other nodes tell. Answers
- * overtake each other, and some were made before the limit was named.
+ * overtake each other, and some were made before the limit was announced.
  *
  * <p>Invariant: a limit ends, or rises, only by an answer to a request that was sent after the
- * limit in force had last been named to this node; it falls at once. What others tell is believed
- * only where it is surely newer than what this node heard itself. Callers see to it that one thread
- * calls at a time.
+ * limit in force had last been announced to this node; it falls at once. What others tell is
+ * believed only where it is surely newer than what this node heard itself. Callers see to it that
+ * one thread calls at a time.
  */
-public final class NamedLimit {
+public final class AnnouncedLimit {
 
   /** Longer than what one node says takes to another, so that its ages can be compared. */
   private static final long TELLING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
@@ -32,34 +32,37 @@
   }
 
   /** An answer that came now names a limit; whether that changes the one in force. */
-  public boolean onNamed(double named, long sentNanos, long nowNanos) {
-    boolean rises = perSecond.isPresent() && named > perSecond.getAsDouble();
+  public boolean onLimitAnnounced(double announced, long sentNanos, long nowNanos) {
+    boolean rises = perSecond.isPresent() && announced > perSecond.getAsDouble();
     if (rises && sentNanos - namedNanos < 0) {
       return false;
     }
-    return set(named, true, nowNanos);
+    return set(announced, true, nowNanos);
   }
 
   /** An answer that came now names none; whether that ends the one in force. */
-  public boolean onNoneNamed(long sentNanos) {
+  public boolean onNoLimitAnnounced(long sentNanos) {
     return end(sentNanos);
   }
 
   /** Other nodes tell what they know; whether that changes what is in force. */
-  public boolean onPeerReport(LimitWord word, long nowNanos) {
-    long toldNamed = nowNanos - TimeUnit.MILLISECONDS.toNanos(word.namedAgoMillis());
-    boolean named =
-        word.named() && newerThanKnown(toldNamed) && set(word.perSecond(), false, toldNamed);
-    return word.ended() && end(toldEnd(word, nowNanos)) || named;
+  public boolean onPeerReport(AnnouncedLimitDigest digest, long nowNanos) {
+    long toldNamed = nowNanos - TimeUnit.MILLISECONDS.toNanos(digest.announcedAgoMillis());
+    boolean announced =
+        digest.announced()
+            && newerThanKnown(toldNamed)
+            && set(digest.perSecond(), false, toldNamed);
+    return digest.ended() && end(toldEnd(digest, nowNanos)) || announced;
   }
 
   /**
    * The moment that an end which others tell surely came after. Where this node knows the limit
    * from others alone, their own order of the two holds.
    */
-  private long toldEnd(LimitWord word, long nowNanos) {
-    boolean afterNaming = !word.named() || word.endedAgoMillis() < word.namedAgoMillis();
-    long told = nowNanos - TimeUnit.MILLISECONDS.toNanos(word.endedAgoMillis()) - TELLING_NANOS;
+  private long toldEnd(AnnouncedLimitDigest digest, long nowNanos) {
+    boolean afterNaming =
+        !digest.announced() || digest.endedAgoMillis() < digest.announcedAgoMillis();
+    long told = nowNanos - TimeUnit.MILLISECONDS.toNanos(digest.endedAgoMillis()) - TELLING_NANOS;
     return !namedHere && afterNaming && told - namedNanos < 0 ? namedNanos : told;
   }
 
@@ -70,9 +73,9 @@
     return !everEnded || toldNamed - endedNanos > TELLING_NANOS;
   }
 
-  private boolean set(double named, boolean here, long atNanos) {
-    boolean changed = perSecond.isEmpty() || perSecond.getAsDouble() != named;
-    perSecond = OptionalDouble.of(named);
+  private boolean set(double announced, boolean here, long atNanos) {
+    boolean changed = perSecond.isEmpty() || perSecond.getAsDouble() != announced;
+    perSecond = OptionalDouble.of(announced);
     namedNanos = atNanos;
     namedHere = here;
     return changed;
@@ -88,18 +91,18 @@
     return true;
   }
 
-  /** Whether it was last named, or ended, within a time. */
+  /** Whether it was last announced, or ended, within a time. */
   public boolean heardWithin(long nanos, long nowNanos) {
     return nowNanos - namedNanos < nanos || everEnded && nowNanos - endedNanos < nanos;
   }
 
   /** What this node tells others. */
-  public LimitWord word(long nowNanos) {
+  public AnnouncedLimitDigest digest(long nowNanos) {
     boolean tellsEnd = everEnded && nowNanos - endedNanos < END_TOLD_NANOS;
-    return new LimitWord(
+    return new AnnouncedLimitDigest(
         perSecond.orElse(0),
-        perSecond.isPresent() ? millisSince(namedNanos, nowNanos) : LimitWord.NEVER,
-        tellsEnd ? millisSince(endedNanos, nowNanos) : LimitWord.NEVER);
+        perSecond.isPresent() ? millisSince(namedNanos, nowNanos) : AnnouncedLimitDigest.NEVER,
+        tellsEnd ? millisSince(endedNanos, nowNanos) : AnnouncedLimitDigest.NEVER);
   }
 
   private static int millisSince(long nanos, long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
@@ -6,17 +6,18 @@
  * @param rate their parts of it
  * @param word what they know of the limit itself
  */
-public record LimitDigest(RateDigest rate, LimitWord word) {
+public record LimitDigest(RateDigest rate, AnnouncedLimitDigest word) {
 
   /** Nothing is told. */
-  public static final LimitDigest NONE = new LimitDigest(RateDigest.NONE, LimitWord.NONE);
+  public static final LimitDigest NONE =
+      new LimitDigest(RateDigest.NONE, AnnouncedLimitDigest.NONE);
 
   /**
    * Whether nothing is told. Asked for each engine by each process that starts, and so by fields:
    * the equality of records is linked on first use, which holds a start up.
    */
   public boolean isNegligible() {
-    return rate.nodes() == 0 && !word.named() && !word.ended();
+    return rate.nodes() == 0 && !word.announced() && !word.ended();
   }
 
   /** What both tell together; for most engines that is nothing, and costs nothing. */
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/SharedBudget.java
@@ -48,7 +48,7 @@
   /**
    * What others told of a budget is believed for so long: several turns, of which some are lost.
    */
-  public static final long TOLD_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  public static final long DIGEST_LIFETIME_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /** How often the time in which wants are counted fits into a window. */
   private final double wantedTimes;
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/EngineEstimate.java
@@ -5,7 +5,7 @@
 
   private final LongTermPace lasting = new LongTermPace();
   private final ReportedPace own = new ReportedPace();
-  private RecentPace lately = RecentPace.NONE;
+  private RecentPace recent = RecentPace.NONE;
   private long latelyNanos;
   private PaceState state = PaceState.USUAL;
 
@@ -18,8 +18,8 @@
   }
 
   /** This node's samples that have not faded. */
-  RecentPace lately(long nowNanos) {
-    return lately.aged(nowNanos - latelyNanos);
+  RecentPace recent(long nowNanos) {
+    return recent.aged(nowNanos - latelyNanos);
   }
 
   /**
@@ -30,7 +30,7 @@
    */
   PaceForecast forecast(RecentPace told, WorkKindPace kind, long nowNanos) {
     double mean = lasting.log(kind.usualSamples(), nowNanos);
-    RecentPace all = lately(nowNanos).and(told);
+    RecentPace all = recent(nowNanos).and(told);
     double moment = (all.sum() - all.samples() * (mean + kind.common())) / (all.samples() + 1);
     double estimate = mean + kind.momentWeight().get() * moment;
     double weight = own.weight(nowNanos);
@@ -52,7 +52,7 @@
     sample.forecast().own().ifPresent(word -> own.onOutcome(word, lasting.mean(), apart));
     double difference = apart - lasting.mean();
     lasting.add(apart, sample.weight(), difference * difference, nowNanos);
-    lately = lately(nowNanos).with(log, sample.weight());
+    recent = recent(nowNanos).with(log, sample.weight());
     latelyNanos = nowNanos;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/PaceEstimator.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/PaceEstimator.java
@@ -87,10 +87,10 @@
         .forEach(kind -> kind.engine(engineId).own().say(PaceBounds.log(factor), saidNanos));
   }
 
-  /** What this node's work says of an engine lately, for the other nodes. */
-  public RecentPace lately(String engineId, WorkKind kind, long nowNanos) {
+  /** What this node's work says of an engine recent, for the other nodes. */
+  public RecentPace recent(String engineId, WorkKind kind, long nowNanos) {
     EngineEstimate estimate = kinds.get(kind).engines().get(engineId);
-    return estimate == null ? RecentPace.NONE : estimate.lately(nowNanos);
+    return estimate == null ? RecentPace.NONE : estimate.recent(nowNanos);
   }
 
   /**
--- a/fallturn-core/src/main/java/org/fallturn/core/pace/WorkKindPace.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/pace/WorkKindPace.java
@@ -46,7 +46,7 @@
     double sum = 0;
     double samples = USUAL_LOAD_SAMPLES;
     for (Map.Entry<String, EngineEstimate> engine : engines.entrySet()) {
-      RecentPace word = engine.getValue().lately(nowNanos).and(peers.of(engine.getKey(), nowNanos));
+      RecentPace word = engine.getValue().recent(nowNanos).and(peers.of(engine.getKey(), nowNanos));
       sum += word.sum() - word.samples() * engine.getValue().lasting().mean();
       samples += word.samples();
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/Outgoing.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/OutgoingPeerMessage.java
@@ -8,4 +8,4 @@
  * @param target address of the node that should hear it
  * @param message the message
  */
-public record Outgoing(NetworkAddress target, PeerMessage message) {}
+public record OutgoingPeerMessage(NetworkAddress target, PeerMessage message) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/FleetKnowledge.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -30,7 +30,7 @@
  * that ranks before its sender, so that no sum comes back to whom it is from; what a relay tells a
  * node leaves out what that node reported. Only the dispatch thread calls.
  */
-public final class FleetKnowledge {
+public final class RelayOverlay {
 
   /** A turn: how often what has changed is told. */
   private static final long TURN_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
@@ -54,7 +54,7 @@
 
   private static final long TELL_RELAYS_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** Only a node that has just started asks, and the store does not answer. */
+  /** Only a node that has just started pollsEngine, and the store does not answer. */
   private static final long LIST_ASKABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   /** Greetings heal a fleet that was cut into parts, and let a node be found that all forgot. */
@@ -106,8 +106,8 @@
   private final NodeCount count;
   private boolean tableNews;
   private boolean memberTableNews;
-  private final TableTeller upwardTeller;
-  private final TableTeller memberTeller;
+  private final TableVersionPublisher upwardTeller;
+  private final TableVersionPublisher memberTeller;
   private volatile WatchOrder watchOrder;
   private volatile List<NetworkAddress> askable = List.of();
 
@@ -118,7 +118,7 @@
    * @param beganNanos now
    * @param loads takes what other nodes have at the engines
    */
-  public FleetKnowledge(
+  public RelayOverlay(
       PeerInfo self,
       String node,
       long incarnation,
@@ -132,8 +132,8 @@
     this.loads = loads;
     this.directory = new PeerDirectory(self);
     this.tables = new TableVersions(node);
-    this.upwardTeller = new TableTeller(tables);
-    this.memberTeller = new TableTeller(tables);
+    this.upwardTeller = new TableVersionPublisher(tables);
+    this.memberTeller = new TableVersionPublisher(tables);
     rankAs(new RelayRanking(self, List.of(), 1));
     this.watchOrder = WatchOrder.ofOne(!this.seeds.isEmpty());
     this.count = new NodeCount(beganNanos);
@@ -216,7 +216,7 @@
     urgent = true;
   }
 
-  /** Whether this node asks others for all that they know of what engines keep. */
+  /** Whether this node pollsEngine others for all that they know of what engines keep. */
   public void setWantsListings(boolean wanted) {
     wantsListings = wanted;
   }
@@ -227,10 +227,10 @@
   }
 
   /** The messages that answer the nodes that asked for all listings. */
-  public List<Outgoing> answerListings(Collection<CacheListing> all, long nowNanos) {
+  public List<OutgoingPeerMessage> answerListings(Collection<CacheListing> all, long nowNanos) {
     News news = new News();
     news.addListings(all, nowNanos);
-    List<Outgoing> answers = new ArrayList<>();
+    List<OutgoingPeerMessage> answers = new ArrayList<>();
     while (!news.isEmpty()) {
       PeerMessage message =
           new PeerMessage(
@@ -242,15 +242,15 @@
               List.of(),
               tables.all(),
               false);
-      listingRequests.forEach(asker -> answers.add(new Outgoing(asker, message)));
+      listingRequests.forEach(asker -> answers.add(new OutgoingPeerMessage(asker, message)));
     }
     listingRequests.forEach(asker -> toldListingsAt.put(asker, nowNanos));
     listingRequests.clear();
     return answers;
   }
 
-  /** Whether this node is the one that asks an engine what it keeps, as far as it knows. */
-  public boolean asks(String engineId, long nowNanos) {
+  /** Whether this node is the one that pollsEngine an engine what it keeps, as far as it knows. */
+  public boolean pollsEngine(String engineId, long nowNanos) {
     if (!relaying || !directory.anyHeard(nowNanos) && !seeds.isEmpty()) {
       return false;
     }
@@ -261,7 +261,7 @@
   }
 
   /** Nodes of the last minute, this one included; empty while none of several was heard. */
-  public OptionalInt cautiousNodeCount(long nowNanos) {
+  public OptionalInt conservativeNodeCount(long nowNanos) {
     count.onHeard(loads.nodeCount(nowNanos), nowNanos);
     if (count.highest() <= 1) {
       return seeds.isEmpty() ? OptionalInt.of(1) : OptionalInt.empty();
@@ -286,7 +286,7 @@
   }
 
   /** Whether a change of a table was learned that others should hear of at once. */
-  public boolean hasTableNews() {
+  public boolean hasUnsentTableVersions() {
     return tableNews || memberTableNews;
   }
 
@@ -302,7 +302,7 @@
   }
 
   /** The messages by which this node tells what it has counted. */
-  public List<Outgoing> tellUsage(UsageNews news) {
+  public List<OutgoingPeerMessage> usageMessages(UsageNews news) {
     LoadDigest nothing =
         new LoadDigest(node, incarnation, ++sequence, 1, "", Map.of(), List.of(), Map.of());
     PeerMessage message =
@@ -318,7 +318,7 @@
             false);
     return collectors.stream()
         .filter(collector -> !collector.equals(self))
-        .map(collector -> new Outgoing(collector.address(), message))
+        .map(collector -> new OutgoingPeerMessage(collector.address(), message))
         .toList();
   }
 
@@ -349,7 +349,7 @@
   }
 
   /** What is to be told now; called at each tick, and when there is news. */
-  public List<Outgoing> due(Supplier<OwnLoad> own, long nowNanos) {
+  public List<OutgoingPeerMessage> due(Supplier<OwnLoad> own, long nowNanos) {
     tableNews |= tables.takeNews();
     memberTableNews |= tableNews;
     boolean turn = !begun || urgent || tableNews || nowNanos - lastTurnNanos >= TURN_NANOS;
@@ -357,7 +357,7 @@
       relaySinceNanos = nowNanos;
     }
     lastCallNanos = nowNanos;
-    List<Outgoing> messages = new ArrayList<>();
+    List<OutgoingPeerMessage> messages = new ArrayList<>();
     if (turn) {
       begun = true;
       urgent = false;
@@ -442,7 +442,7 @@
     }
   }
 
-  private void greet(List<Outgoing> messages, long nowNanos) {
+  private void greet(List<OutgoingPeerMessage> messages, long nowNanos) {
     boolean alone = !directory.anyHeard(nowNanos);
     long pause = alone ? GREET_ALONE_NANOS : GREET_NANOS;
     if (lastGreetingNanos == 0 || nowNanos - lastGreetingNanos >= pause) {
@@ -459,11 +459,11 @@
   }
 
   /** Says who the relays are, but nothing of load, since its target may not rank before this. */
-  private Outgoing greeting(MessageKind kind, NetworkAddress peer, long nowNanos) {
+  private OutgoingPeerMessage greeting(MessageKind kind, NetworkAddress peer, long nowNanos) {
     LoadDigest countOnly =
         new LoadDigest(
             node, incarnation, ++sequence, count.highest(), node, Map.of(), List.of(), Map.of());
-    return new Outgoing(
+    return new OutgoingPeerMessage(
         peer,
         new PeerMessage(
             kind,
@@ -476,7 +476,7 @@
             false));
   }
 
-  private void tell(OwnLoad own, boolean turn, List<Outgoing> messages, long nowNanos) {
+  private void tell(OwnLoad own, boolean turn, List<OutgoingPeerMessage> messages, long nowNanos) {
     boolean tellRelays = nowNanos - lastRelaysNanos >= TELL_RELAYS_NANOS;
     List<KnownPeer> relays = tellRelays ? candidates(nowNanos) : List.of();
     if (tellRelays) {
@@ -503,7 +503,7 @@
 
   /** To the relay of this node, or as a relay to the others. */
   private void tellUpward(
-      OwnLoad own, List<KnownPeer> relays, List<Outgoing> messages, long nowNanos) {
+      OwnLoad own, List<KnownPeer> relays, List<OutgoingPeerMessage> messages, long nowNanos) {
     lastUpwardNanos = nowNanos;
     lastSentNanos = nowNanos;
     LoadDigest group = loads.group(digest(own, groupNews.takePrompts()), nowNanos);
@@ -520,7 +520,7 @@
               List.of(),
               versions,
               wantsListings);
-      messages.add(new Outgoing(relay.get().address(), report));
+      messages.add(new OutgoingPeerMessage(relay.get().address(), report));
       return;
     }
     if (!directory.anyHeard(nowNanos)) {
@@ -532,8 +532,9 @@
             MessageKind.GROUP, self, group, listings, own.crashes(), relays, versions, false);
     Optional<NetworkAddress> asked = wantsListings ? firstHeard(nowNanos) : Optional.empty();
     for (NetworkAddress target : relayTargets(nowNanos)) {
-      boolean asks = asked.filter(target::equals).isPresent();
-      messages.add(new Outgoing(target, asks ? toOthers.askingForListings() : toOthers));
+      boolean pollsEngine = asked.filter(target::equals).isPresent();
+      messages.add(
+          new OutgoingPeerMessage(target, pollsEngine ? toOthers.askingForListings() : toOthers));
     }
   }
 
@@ -554,7 +555,11 @@
   }
 
   private void tellMembers(
-      OwnLoad own, boolean turn, List<KnownPeer> relays, List<Outgoing> messages, long nowNanos) {
+      OwnLoad own,
+      boolean turn,
+      List<KnownPeer> relays,
+      List<OutgoingPeerMessage> messages,
+      long nowNanos) {
     if (!loads.hasMembers(nowNanos)) {
       viewNews.clear();
       return;
@@ -571,7 +576,7 @@
         .forEach(
             (member, view) ->
                 messages.add(
-                    new Outgoing(
+                    new OutgoingPeerMessage(
                         member,
                         new PeerMessage(
                             MessageKind.VIEW,
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/TableTeller.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersionPublisher.java
@@ -8,7 +8,7 @@
  * again now and then, since a datagram may be lost. In every message it would be a good part of the
  * bytes between zones.
  */
-final class TableTeller {
+final class TableVersionPublisher {
 
   /** Within which a lost message is made good. */
   private static final long REPEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
@@ -17,7 +17,7 @@
   private boolean begun;
   private long lastNanos;
 
-  TableTeller(TableVersions tables) {
+  TableVersionPublisher(TableVersions tables) {
     this.tables = tables;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/TableVersions.java
@@ -38,7 +38,7 @@
   }
 
   /** Calls back after each newer change or time that is learned, on the thread that learns it. */
-  public void setOnNews(Runnable callback) {
+  public void setOnNewerVersion(Runnable callback) {
     onNews = callback;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Quarantine.java
@@ -79,7 +79,7 @@
    */
   private final Map<String, RequestContent> sent = new HashMap<>();
 
-  private final List<StandingChange> changes = new ArrayList<>();
+  private final List<QuarantineStatusChange> changes = new ArrayList<>();
   private final List<RequestFingerprint> released = new ArrayList<>();
   private final List<Suspect> culprits = new ArrayList<>();
   private boolean explainedAll = true;
@@ -96,10 +96,10 @@
   }
 
   /** What is thought of a content that is about to be sent. */
-  public Standing standing(RequestContent content, long nowNanos) {
+  public QuarantineStatus status(RequestContent content, long nowNanos) {
     Suspect suspect = find(content);
     if (suspect == null) {
-      return Standing.CLEAR;
+      return QuarantineStatus.CLEAR;
     }
     suspect.onAsked(nowNanos);
     boolean underWay = sent.values().stream().anyMatch(copy -> copy.is(suspect.content()));
@@ -182,7 +182,7 @@
       if (suspect.setCulprits(culprits)) {
         active.add(suspect);
       }
-      if (suspect.standing() == Standing.QUARANTINED) {
+      if (suspect.status() == QuarantineStatus.QUARANTINED) {
         culprits.add(suspect);
       }
     }
@@ -225,7 +225,8 @@
     }
     for (SeenCrash crash : report.crashes()) {
       long crashedNanos = at(crash.ageMillis(), nowNanos);
-      learned |= suspect.onCrash(crash.engineId(), crashedNanos, false, crash.sure(), nowNanos);
+      learned |=
+          suspect.onCrash(crash.engineId(), crashedNanos, false, crash.engineGone(), nowNanos);
     }
     if (report.confirmedAgoMillis() != CrashReport.NEVER) {
       learned |= suspect.confirm(at(report.confirmedAgoMillis(), nowNanos), nowNanos);
@@ -249,7 +250,7 @@
    *
    * @param ageMillis how long ago it was written
    */
-  public void onRecalled(RequestFingerprint content, long ageMillis, long nowNanos) {
+  public void onLoadedFromStore(RequestFingerprint content, long ageMillis, long nowNanos) {
     long writtenNanos = at(ageMillis, nowNanos);
     Suspect suspect = suspect(content, writtenNanos, nowNanos);
     if (suspect.confirm(writtenNanos, nowNanos)) {
@@ -261,9 +262,9 @@
   }
 
   /** The store holds it, from before this process began, in quarantine or under suspicion. */
-  public void onRecalled(QuarantineStore.Held held, long nowNanos) {
+  public void onLoadedFromStore(QuarantineStore.StoredContent held, long nowNanos) {
     if (held.engines().isEmpty()) {
-      onRecalled(held.content(), held.ageMillis(), nowNanos);
+      onLoadedFromStore(held.content(), held.ageMillis(), nowNanos);
       return;
     }
     long writtenNanos = at(held.ageMillis(), nowNanos);
@@ -340,7 +341,7 @@
     if (suspects.size() >= MAX_SUSPECTS) {
       suspects.values().stream()
           .min(
-              Comparator.comparing(Suspect::standing)
+              Comparator.comparing(Suspect::status)
                   .thenComparing(Suspect::crashCount)
                   .thenComparing(Suspect::askedNanos))
           .ifPresent(this::drop);
@@ -368,19 +369,20 @@
 
   private void notice(Suspect suspect) {
     if (suspect.takeChange()) {
-      changes.add(new StandingChange(suspect.content(), suspect.standing(), suspect.engines()));
+      changes.add(
+          new QuarantineStatusChange(suspect.content(), suspect.status(), suspect.engines()));
     }
   }
 
   /** Changes of what is thought of contents, since the last call. */
-  public List<StandingChange> takeChanges() {
-    List<StandingChange> taken = List.copyOf(changes);
+  public List<QuarantineStatusChange> takeChanges() {
+    List<QuarantineStatusChange> taken = List.copyOf(changes);
     changes.clear();
     return taken;
   }
 
   /** Whether anything was learned since the last call that the others should hear at once. */
-  public boolean takeNews() {
+  public boolean takeUrgentChange() {
     boolean taken = news;
     news = false;
     return taken;
@@ -396,8 +398,7 @@
       return List.of();
     }
     return active.stream()
-        .sorted(
-            Comparator.comparing(Suspect::standing).reversed().thenComparing(Suspect::toldNanos))
+        .sorted(Comparator.comparing(Suspect::status).reversed().thenComparing(Suspect::toldNanos))
         .filter(suspect -> suspect.takeTellDue(TELL_NANOS, REPEAT_NANOS, passesOn, nowNanos))
         .limit(MAX_REPORTS)
         .map(suspect -> suspect.report(nowNanos))
@@ -407,7 +408,7 @@
   /** Contents in quarantine that the store should hold, as far as this node is to see to it. */
   public List<RequestFingerprint> takeUnstored(long nowNanos) {
     return active.stream()
-        .filter(suspect -> suspect.standing() == Standing.QUARANTINED)
+        .filter(suspect -> suspect.status() == QuarantineStatus.QUARANTINED)
         .filter(suspect -> suspect.takeStoreDue(othersPause(suspect), STORE_AGAIN_NANOS, nowNanos))
         .map(Suspect::content)
         .toList();
@@ -443,6 +444,6 @@
   /** How many contents are in quarantine. */
   public int quarantined() {
     return (int)
-        active.stream().filter(suspect -> suspect.standing() == Standing.QUARANTINED).count();
+        active.stream().filter(suspect -> suspect.status() == QuarantineStatus.QUARANTINED).count();
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Standing.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStatus.java
@@ -1,7 +1,7 @@
 package org.fallturn.core.quarantine;
 
 /** What is thought of a content, from least to most that speaks against it. */
-public enum Standing {
+public enum QuarantineStatus {
   /** Nothing, or no more than chance explains. */
   CLEAR(true),
   /** Several engines have crashed under it; it is sent where the next crash ends least. */
@@ -11,7 +11,7 @@
 
   private final boolean sendable;
 
-  Standing(boolean sendable) {
+  QuarantineStatus(boolean sendable) {
     this.sendable = sendable;
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStore.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/QuarantineStore.java
@@ -16,21 +16,21 @@
    * @param ageMillis how long ago it was written last
    * @param engines engines that crashed under it; empty where it is in quarantine whatever is known
    */
-  record Held(RequestFingerprint content, long ageMillis, Set<String> engines) {
+  record StoredContent(RequestFingerprint content, long ageMillis, Set<String> engines) {
 
     /** A private copy. */
-    public Held {
+    public StoredContent {
       engines = Set.copyOf(engines);
     }
 
     /** A content in quarantine. */
-    public Held(RequestFingerprint content, long ageMillis) {
+    public StoredContent(RequestFingerprint content, long ageMillis) {
       this(content, ageMillis, Set.of());
     }
   }
 
   /** Every content that the store holds. */
-  List<Held> read() throws StoreException;
+  List<StoredContent> read() throws StoreException;
 
   /**
    * Holds a content in quarantine from now on.
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/SeenCrash.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/SeenCrash.java
@@ -5,6 +5,6 @@
  *
  * @param engineId the engine
  * @param ageMillis how long ago
- * @param sure whether the engine was found to be gone since
+ * @param engineGone whether the engine was found to be gone since
  */
-public record SeenCrash(String engineId, long ageMillis, boolean sure) {}
+public record SeenCrash(String engineId, long ageMillis, boolean engineGone) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/quarantine/Suspect.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/quarantine/Suspect.java
@@ -67,29 +67,29 @@
   private long changedNanos;
   private long seenHereNanos;
   private long toldNanos;
-  private Standing standing = Standing.CLEAR;
+  private QuarantineStatus status = QuarantineStatus.CLEAR;
   private boolean matters;
   private boolean heldBack;
-  private Standing noticed = Standing.CLEAR;
+  private QuarantineStatus noticed = QuarantineStatus.CLEAR;
 
   /** An engine that seemed to crash, and whether this node saw it. */
   private static final class Crash {
 
     private final long atNanos;
     private final boolean own;
-    private boolean sure;
+    private boolean engineGone;
     private int probes;
     private long probedNanos;
 
-    Crash(long atNanos, boolean own, boolean sure) {
+    Crash(long atNanos, boolean own, boolean engineGone) {
       this.atNanos = atNanos;
       this.own = own;
-      this.sure = sure;
+      this.engineGone = engineGone;
     }
 
     boolean takeProbeDue(long nowNanos) {
       boolean due =
-          !sure
+          !engineGone
               && probes < MAX_PROBES
               && (probes == 0 || nowNanos - probedNanos >= PROBE_PAUSE_NANOS);
       if (due) {
@@ -112,8 +112,8 @@
     return content;
   }
 
-  Standing standing() {
-    return standing;
+  QuarantineStatus status() {
+    return status;
   }
 
   /**
@@ -124,36 +124,38 @@
    *
    * @param underWay whether this node has sent a copy that has not ended
    */
-  Standing standingAt(boolean underWay, long nowNanos) {
+  QuarantineStatus standingAt(boolean underWay, long nowNanos) {
     long undecided = undecided(nowNanos);
     boolean besideAnother = underWay && countedCrashes().count() + undecided >= CRASHES_TO_SUSPECT;
-    boolean waits = besideAnother || standing == Standing.SUSPECTED && undecided > 0;
-    return waits ? Standing.QUARANTINED : standing;
+    boolean waits = besideAnother || status == QuarantineStatus.SUSPECTED && undecided > 0;
+    return waits ? QuarantineStatus.QUARANTINED : status;
   }
 
   /** Connections that broke just now, of engines that may live. */
   private long undecided(long nowNanos) {
     return crashes.values().stream()
-        .filter(crash -> !crash.sure && nowNanos - crash.atNanos < ALIVE_NANOS)
+        .filter(crash -> !crash.engineGone && nowNanos - crash.atNanos < ALIVE_NANOS)
         .count();
   }
 
   /** To be called after each change of what speaks for or against it. */
   private void weigh() {
-    standing = weighed();
-    heldBack |= standing == Standing.QUARANTINED;
+    status = weighed();
+    heldBack |= status == QuarantineStatus.QUARANTINED;
     matters |= crashes.size() >= CRASHES_TO_SUSPECT || confirmed();
   }
 
-  private Standing weighed() {
+  private QuarantineStatus weighed() {
     if (confirmed()) {
-      return Standing.QUARANTINED;
+      return QuarantineStatus.QUARANTINED;
     }
     List<Long> counted = countedCrashes().map(crash -> crash.getValue().atNanos).toList();
     if (counted.size() >= CRASHES_TO_QUARANTINE && apart(counted)) {
-      return Standing.QUARANTINED;
+      return QuarantineStatus.QUARANTINED;
     }
-    return counted.size() >= CRASHES_TO_SUSPECT ? Standing.SUSPECTED : Standing.CLEAR;
+    return counted.size() >= CRASHES_TO_SUSPECT
+        ? QuarantineStatus.SUSPECTED
+        : QuarantineStatus.CLEAR;
   }
 
   private Stream<Map.Entry<String, Crash>> countedCrashes() {
@@ -181,7 +183,7 @@
   }
 
   private Stream<Map.Entry<String, Crash>> sureCrashes() {
-    return crashes.entrySet().stream().filter(crash -> crash.getValue().sure);
+    return crashes.entrySet().stream().filter(crash -> crash.getValue().engineGone);
   }
 
   int crashCount() {
@@ -202,15 +204,15 @@
   }
 
   /** Whether this was news. */
-  boolean onCrash(String engineId, long atNanos, boolean own, boolean sure, long nowNanos) {
+  boolean onCrash(String engineId, long atNanos, boolean own, boolean engineGone, long nowNanos) {
     Crash known = crashes.get(engineId);
-    if (known == null ? goodSince(atNanos) : known.sure || !sure) {
+    if (known == null ? goodSince(atNanos) : known.engineGone || !engineGone) {
       return false;
     }
     if (known == null) {
-      crashes.put(engineId, new Crash(atNanos, own, sure));
+      crashes.put(engineId, new Crash(atNanos, own, engineGone));
     } else {
-      known.sure = true;
+      known.engineGone = true;
     }
     changedNanos = nowNanos;
     if (own) {
@@ -228,13 +230,13 @@
 
   /** Whether nothing has changed since a time, and nothing will by itself. */
   boolean restsSince(long nanos) {
-    return standing != Standing.QUARANTINED && changedNanos - nanos < 0 && unsure().isEmpty();
+    return status != QuarantineStatus.QUARANTINED && changedNanos - nanos < 0 && unsure().isEmpty();
   }
 
   /** Engines that only seem to have crashed, as far as is known. */
   List<String> unsure() {
     return crashes.entrySet().stream()
-        .filter(crash -> !crash.getValue().sure)
+        .filter(crash -> !crash.getValue().engineGone)
         .map(Map.Entry::getKey)
         .toList();
   }
@@ -323,10 +325,10 @@
    * row, and not yet of enough else to hold it back, leaves it there.
    */
   boolean storedInVain() {
-    if (standing() == Standing.CLEAR) {
+    if (status() == QuarantineStatus.CLEAR) {
       return stored() || !storedEngines.isEmpty();
     }
-    return stored() && heldBack && standing() != Standing.QUARANTINED;
+    return stored() && heldBack && status() != QuarantineStatus.QUARANTINED;
   }
 
   /**
@@ -334,7 +336,7 @@
    * this node saw the last of them; then not again until there are others.
    */
   Optional<Set<String>> takeSuspicionDue() {
-    if (standing() != Standing.SUSPECTED || seenHereNanos != changedNanos) {
+    if (status() != QuarantineStatus.SUSPECTED || seenHereNanos != changedNanos) {
       return Optional.empty();
     }
     Set<String> engines = countedEngines();
@@ -369,10 +371,10 @@
 
   /**
    * Crashes that a content in quarantine with more crashes explains do not count here. Whether its
-   * standing is another now.
+   * status is another now.
    */
   boolean setCulprits(List<Suspect> culprits) {
-    Standing before = standing;
+    QuarantineStatus before = status;
     explained.clear();
     for (Suspect culprit : culprits) {
       if (culprit.crashCount() > crashCount()) {
@@ -380,11 +382,11 @@
       }
     }
     weigh();
-    return standing != before;
+    return status != before;
   }
 
   void confirmWhenSettled(long nowNanos) {
-    if (!confirmed() && standing() == Standing.QUARANTINED) {
+    if (!confirmed() && status() == QuarantineStatus.QUARANTINED) {
       long newest = newestCrash();
       if (nowNanos - newest >= CONFIRM_NANOS) {
         confirm(newest, nowNanos);
@@ -401,21 +403,21 @@
 
   /** What is thought of it, when that has changed since the last call. */
   boolean takeChange() {
-    boolean changed = noticed != standing();
-    noticed = standing();
+    boolean changed = noticed != status();
+    noticed = status();
     return changed;
   }
 
   /** The store should be asked at once to hold it, should it be in quarantine. */
   void storeAtOnce(long nowNanos) {
-    if (standing() == Standing.QUARANTINED && !stored()) {
+    if (status() == QuarantineStatus.QUARANTINED && !stored()) {
       storeDueNanos = OptionalLong.of(nowNanos);
     }
   }
 
   /** Whether the store should be asked now to hold it; then not again for a while. */
   boolean takeStoreDue(long firstPauseNanos, long pauseNanos, long nowNanos) {
-    if (standing() != Standing.QUARANTINED || storeHoldsIt(nowNanos)) {
+    if (status() != QuarantineStatus.QUARANTINED || storeHoldsIt(nowNanos)) {
       return false;
     }
     if (storeDueNanos.isEmpty()) {
@@ -452,7 +454,7 @@
   boolean takeTellDue(long whileNanos, long pauseNanos, boolean passesOn, long nowNanos) {
     long sinceNanos = matters() || passesOn ? changedNanos : seenHereNanos;
     boolean fresh = nowNanos - sinceNanos < whileNanos;
-    boolean again = standing() == Standing.QUARANTINED && nowNanos - toldNanos >= pauseNanos;
+    boolean again = status() == QuarantineStatus.QUARANTINED && nowNanos - toldNanos >= pauseNanos;
     if (fresh || again) {
       toldNanos = nowNanos;
     }
@@ -468,7 +470,7 @@
     List<SeenCrash> seen = new ArrayList<>();
     crashes.forEach(
         (engine, crash) ->
-            seen.add(new SeenCrash(engine, millis(nowNanos - crash.atNanos), crash.sure)));
+            seen.add(new SeenCrash(engine, millis(nowNanos - crash.atNanos), crash.engineGone)));
     return new CrashReport(
         content,
         age(confirmedNanos, nowNanos),
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationChoiceTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationChoiceTest.java
@@ -33,7 +33,7 @@
     Map<String, Integer> chosen = new HashMap<>();
     for (int node = 0; node < NODES; node++) {
       Dispatcher dispatcher = Requests.dispatcher(one, two, three);
-      Requests.hear(dispatcher, new LoadDigest("n-2", 1, 1, heard, List.of(), Map.of()), START);
+      Requests.receive(dispatcher, new LoadDigest("n-2", 1, 1, heard, List.of(), Map.of()), START);
       Decision.Run run =
           (Decision.Run)
               dispatcher.start(Requests.application(RequestKind.IDEMPOTENT, 1), START + 1);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationRoomTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ApplicationQueueTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Which application requests wait at a node, and what becomes of them. */
-class ApplicationRoomTest {
+class ApplicationQueueTest {
 
   private static final int WORK_MILLIS = 250;
 
@@ -59,8 +59,8 @@
     assertThat(dispatcher.start(waits, after(1))).isInstanceOf(Decision.Wait.class);
     assertThat(dispatcher.takeEndedWaits(after(2))).isEmpty();
     dispatcher.onFinished(sent.get(0), after(3));
-    List<Dispatcher.Ended> ended = dispatcher.takeEndedWaits(after(3));
-    assertThat(ended).extracting(Dispatcher.Ended::progress).containsExactly(waits);
+    List<Dispatcher.EndedWait> ended = dispatcher.takeEndedWaits(after(3));
+    assertThat(ended).extracting(Dispatcher.EndedWait::progress).containsExactly(waits);
     assertThat(ended.get(0).decision()).isInstanceOf(Decision.Run.class);
     assertThat(dispatcher.waitingCount()).isZero();
   }
@@ -75,7 +75,7 @@
     dispatcher.start(newer, after(400));
     dispatcher.onFinished(sent.get(0), after(401));
     assertThat(dispatcher.takeEndedWaits(after(401)))
-        .extracting(Dispatcher.Ended::progress)
+        .extracting(Dispatcher.EndedWait::progress)
         .containsExactly(newer);
   }
 
@@ -86,7 +86,7 @@
     RequestProgress waits = Requests.application(RequestKind.NON_IDEMPOTENT, 1);
     dispatcher.start(waits, after(1));
     assertThat(dispatcher.takeEndedWaits(after(4_800))).isEmpty();
-    List<Dispatcher.Ended> ended = dispatcher.takeEndedWaits(after(4_900));
+    List<Dispatcher.EndedWait> ended = dispatcher.takeEndedWaits(after(4_900));
     Decision.Refuse refuse = (Decision.Refuse) ended.get(0).decision();
     assertThat(refuse.kind().outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(refuse.retryAfter()).isPresent();
@@ -97,7 +97,7 @@
     Dispatcher dispatcher = loneNode(one);
     fill(dispatcher, MOST);
     dispatcher.start(Requests.application(RequestKind.IDEMPOTENT, 2), after(1));
-    List<Dispatcher.Ended> ended = dispatcher.closeWaits();
+    List<Dispatcher.EndedWait> ended = dispatcher.closeWaits();
     assertThat(((Decision.Refuse) ended.get(0).decision()).kind()).isEqualTo(ErrorKind.STOPPING);
     RequestProgress later = Requests.application(RequestKind.IDEMPOTENT, 2);
     assertThat(dispatcher.start(later, after(2))).isInstanceOf(Decision.Run.class);
@@ -132,7 +132,7 @@
         .toList()
         .forEach(request -> dispatcher.onFinished(request, after(5)));
     assertThat(dispatcher.takeEndedWaits(after(6)))
-        .extracting(Dispatcher.Ended::progress)
+        .extracting(Dispatcher.EndedWait::progress)
         .contains(waits);
     assertThat(dispatcher.waitingCount()).isZero();
   }
@@ -147,7 +147,7 @@
     assertThat(dispatcher.start(next, after(2))).isInstanceOf(Decision.Wait.class);
   }
 
-  /** A hundred nodes hear that two full engines have room for eight again. */
+  /** A hundred nodes receive that two full engines have room for eight again. */
   @Test
   void nodesThatHearOfRoomTogetherDoNotOverfillIt() {
     EngineDigest digest = new EngineDigest(MOST - 4, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD);
@@ -156,7 +156,7 @@
     for (int node = 0; node < 100; node++) {
       Dispatcher dispatcher = loneNode(one, two);
       dispatcher.setNodeCount(OptionalInt.of(100));
-      Requests.hear(dispatcher, new LoadDigest("n-2", 1, 1, heard, List.of(), Map.of()), START);
+      Requests.receive(dispatcher, new LoadDigest("n-2", 1, 1, heard, List.of(), Map.of()), START);
       for (int step = 0; step < 20; step++) {
         long now = after(1 + 5 * step);
         if (step < 3) {
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/BudgetFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/BudgetFleet.java
@@ -35,7 +35,7 @@
   interface Trouble {
     Trouble NONE = (node, seconds) -> 0;
 
-    /** The group of nodes that hear each other; negative while a node is paused. */
+    /** The group of nodes that receive each other; negative while a node is paused. */
     int group(int node, double seconds);
 
     /** Whether its process ends now and another begins. */
@@ -60,7 +60,7 @@
   /**
    * Nodes that have served for long.
    *
-   * @param sharing whether they hear what the others tell; else each keeps its equal part
+   * @param sharing whether they receive what the others tell; else each keeps its equal part
    */
   BudgetFleet(int nodes, boolean sharing, double lost, long seed) {
     this.nodes = nodes;
@@ -136,7 +136,7 @@
       while (latest != null && of.peekFirst() != latest) {
         of.removeFirst();
       }
-      boolean fresh = latest != null && now - latest.atNanos < SharedBudget.TOLD_LIFETIME_NANOS;
+      boolean fresh = latest != null && now - latest.atNanos < SharedBudget.DIGEST_LIFETIME_NANOS;
       heard.add(fresh ? latest : new Told(now, BudgetDigest.NONE, Integer.MIN_VALUE));
     }
     for (int node = 0; node < nodes; node++) {
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/CrashingFleet.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import org.fallturn.core.error.ErrorKind;
 import org.fallturn.core.quarantine.CrashReport;
+import org.fallturn.core.quarantine.QuarantineStatus;
+import org.fallturn.core.quarantine.QuarantineStatusChange;
 import org.fallturn.core.quarantine.QuarantineStore;
 import org.fallturn.core.quarantine.RequestFingerprint;
-import org.fallturn.core.quarantine.Standing;
-import org.fallturn.core.quarantine.StandingChange;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineStage;
 import org.fallturn.core.routing.ServingEngine;
@@ -86,8 +86,9 @@
     Dispatcher node = Requests.dispatcher(engines.toArray(ServingEngine[]::new));
     storedSuspects.forEach(
         (content, crashed) ->
-            node.quarantine().onRecalled(new QuarantineStore.Held(content, 0, crashed), now()));
-    stored.forEach(content -> node.quarantine().onRecalled(content, 0, now()));
+            node.quarantine()
+                .onLoadedFromStore(new QuarantineStore.StoredContent(content, 0, crashed), now()));
+    stored.forEach(content -> node.quarantine().onLoadedFromStore(content, 0, now()));
     return node;
   }
 
@@ -260,13 +261,13 @@
     for (String engineId : dispatcher.quarantine().takeProbes(now())) {
       in(STEP_MILLIS * (1 + random.nextInt(2)), () -> probe(dispatcher, engineId));
     }
-    for (StandingChange change : dispatcher.quarantine().takeChanges()) {
-      suspicions += change.standing() == Standing.CLEAR ? 0 : 1;
-      if (!change.standing().sendable()) {
+    for (QuarantineStatusChange change : dispatcher.quarantine().takeChanges()) {
+      suspicions += change.status() == QuarantineStatus.CLEAR ? 0 : 1;
+      if (!change.status().sendable()) {
         takeBackCopies(node, change.content());
       }
     }
-    if (dispatcher.quarantine().takeNews() || millis % TELL_MILLIS == 0) {
+    if (dispatcher.quarantine().takeUrgentChange() || millis % TELL_MILLIS == 0) {
       tell(node);
     }
   }
@@ -330,13 +331,13 @@
     for (int other = 0; other < nodes.size(); other++) {
       if (other != node && random.nextDouble() >= lossShare) {
         int target = other;
-        in(STEP_MILLIS * (1 + random.nextInt(8)), () -> hear(target, load, reports));
+        in(STEP_MILLIS * (1 + random.nextInt(8)), () -> receive(target, load, reports));
       }
     }
   }
 
-  private void hear(int node, LoadDigest load, List<CrashReport> reports) {
-    Requests.hear(nodes.get(node), load, now());
+  private void receive(int node, LoadDigest load, List<CrashReport> reports) {
+    Requests.receive(nodes.get(node), load, now());
     reports.forEach(report -> nodes.get(node).quarantine().onPeerReport(report, now()));
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/DispatcherTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/DispatcherTest.java
@@ -180,7 +180,7 @@
       Decision next = dispatcher.start(Requests.prompt(false, 13_000, 4_000), after(1_000));
       if (next instanceof Decision.Prefill prefilled) {
         prefilled.fetchFrom().ifPresent(from -> copiedFrom.add(from.id()));
-        assertThat(prefilled.expectation().readTokens()).isEqualTo(4_000);
+        assertThat(prefilled.estimate().readTokens()).isEqualTo(4_000);
       }
     }
     assertThat(copiedFrom).containsExactly(first.engine().id());
@@ -197,7 +197,7 @@
     Decision.Prefill second =
         (Decision.Prefill) dispatcher.start(Requests.prompt(false, 13_000, 4_000), after(5));
     assertThat(second.engine()).isEqualTo(first.engine());
-    assertThat(second.expectation().readTokens()).isEqualTo(4_000);
+    assertThat(second.estimate().readTokens()).isEqualTo(4_000);
   }
 
   /** A decode engine reads between the tokens of its streams, whose pauses grow with it. */
@@ -218,10 +218,10 @@
     RequestProgress progress = Requests.prompt(false, 13_000, 4_000);
     PromptPart shared = progress.envelope().prompt().orElseThrow().parts().get(0);
     PlacedPrompt placed = new PlacedPrompt("p-1", 100, List.of(shared));
-    Requests.hear(
+    Requests.receive(
         dispatcher, new LoadDigest("n", 1, 1, Map.of(), List.of(placed), Map.of()), START);
     Decision.Prefill decision = (Decision.Prefill) dispatcher.start(progress, after(200));
-    assertThat(decision.expectation().readTokens()).isEqualTo(4_000);
+    assertThat(decision.estimate().readTokens()).isEqualTo(4_000);
   }
 
   @Test
@@ -232,7 +232,7 @@
     started.fleet().onEngineCacheListing(new PlacedPrompt("p-1", 0, shared), after(1_000));
     Decision.Prefill decision = (Decision.Prefill) started.start(progress, after(1_010));
     assertThat(decision.engine()).isEqualTo(prefill);
-    assertThat(decision.expectation().readTokens()).isEqualTo(4_000);
+    assertThat(decision.estimate().readTokens()).isEqualTo(4_000);
   }
 
   @Test
@@ -271,14 +271,14 @@
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     Map<String, EngineDigest> suspects =
         Map.of("a-1", new EngineDigest(0, 0, List.of(), 1, 0, EngineDigest.NOT_HEARD));
-    Requests.hear(dispatcher, new LoadDigest("n-1", 1, 1, suspects, List.of(), Map.of()), START);
+    Requests.receive(dispatcher, new LoadDigest("n-1", 1, 1, suspects, List.of(), Map.of()), START);
     Set<String> used = new HashSet<>();
     for (int request = 0; request < 20; request++) {
       RequestProgress progress = Requests.application(RequestKind.IDEMPOTENT, 1);
       used.add(runEngine(dispatcher.start(progress, after(1))).id());
     }
     assertThat(used).contains("a-1");
-    Requests.hear(dispatcher, new LoadDigest("n-2", 1, 1, suspects, List.of(), Map.of()), START);
+    Requests.receive(dispatcher, new LoadDigest("n-2", 1, 1, suspects, List.of(), Map.of()), START);
     for (int request = 0; request < 20; request++) {
       RequestProgress progress = Requests.application(RequestKind.IDEMPOTENT, 1);
       assertThat(runEngine(dispatcher.start(progress, after(40))).id()).isEqualTo("a-2");
@@ -326,8 +326,8 @@
 
   private static int readTokens(Decision decision) {
     return decision instanceof Decision.Prefill read
-        ? read.expectation().readTokens()
-        : ((Decision.Run) decision).expectation().readTokens();
+        ? read.estimate().readTokens()
+        : ((Decision.Run) decision).estimate().readTokens();
   }
 
   @Test
@@ -336,11 +336,11 @@
     for (int request = 0; request < 3; request++) {
       RequestProgress late = Requests.prompt(false, 0, 30_000);
       dispatcher.start(late, START);
-      assertThat(late.goesBehind()).isTrue();
+      assertThat(late.sentAsLate()).isTrue();
     }
     Decision.Prefill next =
         (Decision.Prefill) dispatcher.start(Requests.prompt(false, 0, 2_000), after(1));
-    assertThat(next.expectation().aheadTokens()).as("half of one").isEqualTo(15_000);
+    assertThat(next.estimate().aheadTokens()).as("half of one").isEqualTo(15_000);
     assertThat(next.urgency()).isEqualTo(4);
   }
 
@@ -352,10 +352,10 @@
             "p-1",
             new EngineDigest(
                 9, 0, List.of(0L, 0L, 0L, 0L, 5_000L, 90_000L), 0, 0, EngineDigest.NOT_HEARD));
-    Requests.hear(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), Map.of()), START);
+    Requests.receive(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), Map.of()), START);
     Decision.Prefill next =
         (Decision.Prefill) dispatcher.start(Requests.prompt(false, 0, 8_000), after(30));
-    assertThat(next.expectation().aheadTokens()).isEqualTo(5_000);
+    assertThat(next.estimate().aheadTokens()).isEqualTo(5_000);
   }
 
   @Test
@@ -369,7 +369,7 @@
       learned.onFinished(progress, after(20 * request + 10));
     }
     Dispatcher started = Requests.dispatcher(prefill, decode);
-    Requests.hear(
+    Requests.receive(
         started,
         new LoadDigest("n", 1, 1, Map.of(), List.of(), learned.fleet().ownSpeeds()),
         START);
@@ -378,7 +378,7 @@
     Decision.Prefill guessed =
         (Decision.Prefill)
             Requests.dispatcher(prefill, decode).start(Requests.prompt(false, 0, 30_000), START);
-    assertThat(told.expectation().millis()).isLessThan(guessed.expectation().millis() / 3);
+    assertThat(told.estimate().millis()).isLessThan(guessed.estimate().millis() / 3);
   }
 
   @Test
@@ -392,7 +392,7 @@
         Map.of(
             engine.id(),
             new EngineDigest(streams, streams, List.of(), 0, 0, EngineDigest.NOT_HEARD));
-    Requests.hear(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), Map.of()), START);
+    Requests.receive(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), Map.of()), START);
     int read = 0;
     for (int request = 0; request < 20; request++) {
       Decision decision = dispatcher.start(Requests.prompt(true, 0, 3_000), after(30));
@@ -411,12 +411,12 @@
             "p-1",
             new EngineDigest(
                 40, 0, List.of(0L, 0L, 0L, 0L, 640_000L), 0, 0, EngineDigest.NOT_HEARD));
-    Requests.hear(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), Map.of()), START);
+    Requests.receive(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), Map.of()), START);
     assertThat(dispatcher.start(Requests.prompt(false, 0, 4_000), START))
         .as("the speed is a guess")
         .isInstanceOf(Decision.Prefill.class);
     Map<String, LearnedSpeed> speeds = Map.of(Requests.MODEL, new LearnedSpeed(0.004));
-    Requests.hear(dispatcher, new LoadDigest("n-1", 1, 2, loads, List.of(), speeds), START);
+    Requests.receive(dispatcher, new LoadDigest("n-1", 1, 2, loads, List.of(), speeds), START);
     RequestProgress first = Requests.prompt(false, 0, 4_000);
     Decision.Refuse refusal = (Decision.Refuse) dispatcher.start(first, after(30));
     assertThat(refusal.kind().outcome()).isEqualTo(Outcome.NOT_RUN);
@@ -436,7 +436,7 @@
             "p-1",
             new EngineDigest(
                 9, 0, List.of(0L, 0L, 0L, 0L, 110_000L), 0, 0, EngineDigest.NOT_HEARD));
-    Requests.hear(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), speeds), START);
+    Requests.receive(dispatcher, new LoadDigest("n-1", 1, 1, loads, List.of(), speeds), START);
     Duration patience = Duration.ofSeconds(2);
     assertThat(dispatcher.start(Requests.impatientPrompt(patience, after(1), 4_000), after(1)))
         .as("2.2 s are expected, 80 ms of them its own")
@@ -453,7 +453,7 @@
     Dispatcher dispatcher = Requests.dispatcher(prefill, other);
     RequestProgress late = Requests.prompt(false, 0, 40_000);
     dispatcher.start(late, START);
-    assertThat(late.goesBehind()).isTrue();
+    assertThat(late.sentAsLate()).isTrue();
     for (int request = 0; request < 20; request++) {
       RequestProgress brief = Requests.promptAt(after(1), 200);
       dispatcher.start(brief, after(1));
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
@@ -9,8 +9,8 @@
 import java.util.OptionalInt;
 import java.util.concurrent.TimeUnit;
 import org.fallturn.core.error.ErrorKind;
+import org.fallturn.core.limits.AnnouncedLimitDigest;
 import org.fallturn.core.limits.LimitDigest;
-import org.fallturn.core.limits.LimitWord;
 import org.fallturn.core.limits.RateDigest;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.EngineStage;
@@ -34,7 +34,7 @@
 
   private static void names(Dispatcher dispatcher, ServingEngine engine, double perSecond) {
     EngineLimits limits = dispatcher.notices().limits();
-    limits.onNamed(engine.id(), perSecond, Requests.START, Requests.START);
+    limits.onLimitAnnounced(engine.id(), perSecond, Requests.START, Requests.START);
   }
 
   /** One request every 20 ms, each answered at once; how many reached an engine. */
@@ -153,8 +153,9 @@
         new EngineDigest(0, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD)
             .withLimit(
                 new LimitDigest(
-                    new RateDigest(1, 16, 0, 3), new LimitWord(LIMIT, 20, LimitWord.NEVER)));
-    Requests.hear(
+                    new RateDigest(1, 16, 0, 3),
+                    new AnnouncedLimitDigest(LIMIT, 20, AnnouncedLimitDigest.NEVER)));
+    Requests.receive(
         dispatcher,
         new LoadDigest("node-2", 1, 1, Map.of(limited.id(), told), List.of(), Map.of()),
         after(100));
@@ -163,6 +164,7 @@
             new LimitChange(limited.id(), OptionalDouble.of(LIMIT), NoticeSource.PEER));
     LimitDigest own = dispatcher.fleet().ownLoads(after(150)).get(limited.id()).limit();
     assertThat(own.rate().nodes()).isEqualTo(1);
-    assertThat(own.word()).isEqualTo(new LimitWord(LIMIT, 70, LimitWord.NEVER));
+    assertThat(own.word())
+        .isEqualTo(new AnnouncedLimitDigest(LIMIT, 70, AnnouncedLimitDigest.NEVER));
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineNoticesTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineNoticesTest.java
@@ -211,7 +211,7 @@
     String used = engineOf(dispatcher.start(there, after(5)));
     EngineDigest digest =
         new EngineDigest(0, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD).withLeaving(1);
-    Requests.hear(
+    Requests.receive(
         dispatcher,
         new LoadDigest("node-2", 1, 1, Map.of(used, digest), List.of(), Map.of()),
         after(10));
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/ForeseenRefusalTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/ForeseenRefusalTest.java
@@ -41,9 +41,9 @@
     return new EngineDigest(1, 0, List.of(0L, 0L, 0L, 0L, tokens), 0, 0, EngineDigest.NOT_HEARD);
   }
 
-  private static void hear(Dispatcher dispatcher, Map<String, EngineDigest> loads, long now) {
+  private static void receive(Dispatcher dispatcher, Map<String, EngineDigest> loads, long now) {
     LoadDigest digest = new LoadDigest("n-1", 1, now, loads, List.of(), Map.of(MODEL, SPEED));
-    Requests.hear(dispatcher, digest, now);
+    Requests.receive(dispatcher, digest, now);
   }
 
   /**
@@ -53,7 +53,7 @@
   @Test
   void promptThatCannotBeginBeforeItsCallerLeavesIsRefusedAtOnceAlsoWhenItHasComeBack() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
-    hear(dispatcher, Map.of("p-1", waiting(150_000)), START);
+    receive(dispatcher, Map.of("p-1", waiting(150_000)), START);
     RequestProgress first = Requests.impatientPrompt(PATIENCE, after(1), 4_000);
     RequestProgress back = Requests.impatientPrompt(PATIENCE, START - PATIENCE.toNanos(), 4_000);
     for (RequestProgress hopeless : List.of(first, back)) {
@@ -66,7 +66,7 @@
   @Test
   void promptThatMayStillBeginIsServed() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
-    hear(dispatcher, Map.of("p-1", waiting(110_000)), START);
+    receive(dispatcher, Map.of("p-1", waiting(110_000)), START);
     RequestProgress back = Requests.impatientPrompt(PATIENCE, after(1), 4_000);
     assertThat(dispatcher.start(back, after(1))).isInstanceOf(Decision.Prefill.class);
   }
@@ -75,7 +75,7 @@
   @Test
   void promptWhoseEngineFailedIsRefusedWhenItIsTooLateElsewhere() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, other);
-    hear(dispatcher, Map.of("p-2", waiting(150_000)), START);
+    receive(dispatcher, Map.of("p-2", waiting(150_000)), START);
     RequestProgress progress = Requests.impatientPrompt(PATIENCE, after(1), 4_000);
     assertThat(dispatcher.start(progress, after(1))).isInstanceOf(Decision.Prefill.class);
     Decision next = dispatcher.onFailure(progress, AttemptOutcome.LOST, after(600));
@@ -85,7 +85,7 @@
   @Test
   void callersOfOneRefusalDoNotComeBackTogetherNorLaterThanTheyWait() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
-    hear(dispatcher, Map.of("p-1", waiting(640_000)), START);
+    receive(dispatcher, Map.of("p-1", waiting(640_000)), START);
     Set<Duration> back = new HashSet<>();
     for (int caller = 0; caller < 20; caller++) {
       RequestProgress progress = Requests.promptAt(START, 4_000);
@@ -97,7 +97,7 @@
   @Test
   void callerThatHasComeBackGoesBeforeOneThatIsNewAndLate() {
     Dispatcher dispatcher = Requests.dispatcher(prefill);
-    hear(dispatcher, Map.of("p-1", waiting(50_000)), START);
+    receive(dispatcher, Map.of("p-1", waiting(50_000)), START);
     RequestProgress fresh = Requests.promptAt(START, 4_000);
     RequestProgress back = Requests.returned(START, 4_000);
     int newLevel = ((Decision.Prefill) dispatcher.start(fresh, START)).urgency();
@@ -113,12 +113,12 @@
   void waitForASlotIsForeseenForAPromptThatHasBeenRead() {
     Dispatcher dispatcher = Requests.dispatcher(prefill, decode, otherDecode);
     learnStay(dispatcher);
-    hear(dispatcher, Map.of("d-1", running(20), "d-2", running(16)), START);
+    receive(dispatcher, Map.of("d-1", running(20), "d-2", running(16)), START);
     RequestProgress read = Requests.prompt(false, 0, 4_000);
     dispatcher.start(read, START);
     Decision.Run run = (Decision.Run) dispatcher.onPrefilled(read, "h", after(90));
     assertThat(run.engine()).isEqualTo(otherDecode);
-    assertThat(run.expectation().millis())
+    assertThat(run.estimate().millis())
         .as("nine ends of a second in eight slots")
         .isGreaterThan(1_000);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PaceInDispatchTest.java
@@ -57,7 +57,7 @@
         new EngineDigest(0, 0, List.of(), 0, 0, 10).withPace(RecentPace.of(300, 40));
     LoadDigest told =
         new LoadDigest("node-2", 1, sequence, Map.of("a-1", digest), List.of(), Map.of());
-    Requests.hear(dispatcher, told, nowNanos);
+    Requests.receive(dispatcher, told, nowNanos);
   }
 
   @Test
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PeerBudgetsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PeerBudgetsTest.java
@@ -23,15 +23,15 @@
         .withBudgets(Map.of(Requests.MODEL, budget));
   }
 
-  private void hear(String node, int port, PeerLoads.Source source) {
+  private void receive(String node, int port, PeerLoads.Source source) {
     loads.onDigest(digest(node, TOLD), source, new NetworkAddress("10.0.0.2", port), NOW);
   }
 
   @Test
   void relayAddsUpWhatItsMembersTell() {
-    hear("n-1", 1, PeerLoads.Source.MEMBER);
-    hear("n-2", 2, PeerLoads.Source.MEMBER);
-    hear("n-3", 3, PeerLoads.Source.RELAY);
+    receive("n-1", 1, PeerLoads.Source.MEMBER);
+    receive("n-2", 2, PeerLoads.Source.MEMBER);
+    receive("n-3", 3, PeerLoads.Source.RELAY);
     assertThat(loads.budget(Requests.MODEL, NOW)).isEqualTo(TOLD.plus(TOLD).plus(TOLD));
     assertThat(loads.group(digest("n-0", TOLD), NOW).budgets())
         .containsEntry(Requests.MODEL, TOLD.plus(TOLD).plus(TOLD));
@@ -42,7 +42,7 @@
 
   @Test
   void whatWasToldLongerAgoIsNotBelieved() {
-    hear("n-1", 1, PeerLoads.Source.MEMBER);
+    receive("n-1", 1, PeerLoads.Source.MEMBER);
     long later = NOW + Duration.ofMillis(500).toNanos();
     assertThat(loads.budget(Requests.MODEL, later)).isEqualTo(BudgetDigest.NONE);
     assertThat(loads.group(digest("n-0", TOLD), later).budgets())
@@ -65,7 +65,7 @@
   @Test
   void nodeThatHearsOfWantsTellsWhatItKeeps() {
     Dispatcher dispatcher = steady();
-    Requests.hear(dispatcher, digest("n-1", TOLD), NOW);
+    Requests.receive(dispatcher, digest("n-1", TOLD), NOW);
     BudgetDigest own = dispatcher.ownBudgets(NOW).get(Requests.MODEL);
     assertThat(own.nodes()).isEqualTo(1);
     // A sixth of seven tenths of the slack, of which some is left to others.
@@ -75,7 +75,7 @@
   @Test
   void nodeThatHearsOnlyThoseThatWantNothingIsSilent() {
     Dispatcher dispatcher = steady();
-    Requests.hear(dispatcher, digest("n-1", new BudgetDigest(1, 50, 0, 0, 0)), NOW);
+    Requests.receive(dispatcher, digest("n-1", new BudgetDigest(1, 50, 0, 0, 0)), NOW);
     assertThat(dispatcher.ownBudgets(NOW)).isEmpty();
   }
 
@@ -84,7 +84,7 @@
   void processThatHasJustStartedTellsNothing() {
     Dispatcher dispatcher = Requests.dispatcher(30);
     dispatcher.setNodeCount(OptionalInt.of(6));
-    Requests.hear(dispatcher, digest("n-1", TOLD), NOW);
+    Requests.receive(dispatcher, digest("n-1", TOLD), NOW);
     assertThat(dispatcher.ownBudgets(NOW)).isEmpty();
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillFleet.java
@@ -140,9 +140,9 @@
 
   private void follow(int node, RequestProgress progress, Decision decision) {
     if (decision instanceof Decision.Prefill prefill) {
-      send(node, progress, prefill.engine(), prefill.expectation(), prefill.urgency(), decision);
+      send(node, progress, prefill.engine(), prefill.estimate(), prefill.urgency(), decision);
     } else if (decision instanceof Decision.Run run) {
-      send(node, progress, run.engine(), run.expectation(), run.urgency(), decision);
+      send(node, progress, run.engine(), run.estimate(), run.urgency(), decision);
     } else {
       active.get(node).remove(progress);
       if (decision instanceof Decision.Refuse refuse) {
@@ -155,13 +155,13 @@
       int node,
       RequestProgress progress,
       ServingEngine engine,
-      Expectation expectation,
+      PlacementEstimate estimate,
       int urgency,
       Decision decision) {
     active.get(node).put(progress, decision);
     engines
         .get(engine.id())
-        .add(new Job(node, progress, decision, urgency, sequence++, expectation.readTokens()));
+        .add(new Job(node, progress, decision, urgency, sequence++, estimate.readTokens()));
   }
 
   /** Lets a step of time go by. */
@@ -231,19 +231,19 @@
   }
 
   private void giveUpWhenStuck(int node, RequestProgress progress) {
-    AttemptPatience patience = patience(active.get(node).get(progress));
-    Optional<StuckReason> reason = nodes.get(node).stuck(progress, patience.duration(), now());
+    AttemptTimeout timeout = timeout(active.get(node).get(progress));
+    Optional<StuckReason> reason = nodes.get(node).stuck(progress, timeout.duration(), now());
     if (reason.isPresent()) {
       stuck.merge(reason.get(), 1, Integer::sum);
-      Decision next = nodes.get(node).onFailure(progress, reason.get().outcome(patience), now());
+      Decision next = nodes.get(node).onFailure(progress, reason.get().outcome(timeout), now());
       follow(node, progress, next);
     }
   }
 
-  private static AttemptPatience patience(Decision decision) {
+  private static AttemptTimeout timeout(Decision decision) {
     return decision instanceof Decision.Prefill prefill
-        ? prefill.patience()
-        : ((Decision.Run) decision).patience();
+        ? prefill.timeout()
+        : ((Decision.Run) decision).timeout();
   }
 
   private void tell() {
@@ -262,7 +262,7 @@
     for (int node = 0; node < nodes.size(); node++) {
       for (int other = 0; other < nodes.size(); other++) {
         if (other != node) {
-          Requests.hear(nodes.get(node), digests.get(other), now());
+          Requests.receive(nodes.get(node), digests.get(other), now());
         }
       }
     }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/Requests.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/Requests.java
@@ -90,7 +90,7 @@
   }
 
   /** Another node tells of its load. */
-  static void hear(Dispatcher dispatcher, LoadDigest digest, long nowNanos) {
+  static void receive(Dispatcher dispatcher, LoadDigest digest, long nowNanos) {
     NetworkAddress speaker =
         new NetworkAddress("10.0.0.2", 1 + Math.floorMod(digest.node().hashCode(), 60_000));
     dispatcher.peerLoads().onDigest(digest, PeerLoads.Source.RELAY, speaker, nowNanos);
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/SilenceDetectorTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/SilenceDetectorTest.java
@@ -44,7 +44,7 @@
     Map<String, EngineDigest> engines =
         Map.of("p-1", new EngineDigest(1, 0, List.of(), 0, 0, agoMillis));
     LoadDigest digest = new LoadDigest("n-1", 1, sequence, engines, List.of(), Map.of());
-    Requests.hear(dispatcher, digest, after(millis));
+    Requests.receive(dispatcher, digest, after(millis));
   }
 
   @Test
@@ -52,7 +52,7 @@
     Dispatcher dispatcher = Requests.dispatcher(engine);
     RequestProgress late = latePrompt();
     dispatcher.start(late, START);
-    assertThat(late.goesBehind()).isTrue();
+    assertThat(late.sentAsLate()).isTrue();
     assertThat(suspended(dispatcher, 300)).isFalse();
     assertThat(suspended(dispatcher, LEFT_WITHIN_MILLIS)).isTrue();
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
@@ -47,7 +47,7 @@
       Map<String, EngineDigest> engines = Map.of("p-1", waiting, "p-2", waiting, "p-3", waiting);
       LoadDigest digest =
           new LoadDigest(OTHER, 1, millis, 1, firstNode, engines, List.of(), Map.of());
-      Requests.hear(dispatcher, digest, now);
+      Requests.receive(dispatcher, digest, now);
       wanted = dispatcher.wantedStageChange(now);
     }
     return wanted;
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/StuckAttemptTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/StuckAttemptTest.java
@@ -55,7 +55,7 @@
       Map<String, EngineDigest> answered =
           Map.of("p-1", new EngineDigest(1, 0, List.of(), 0, 0, 20));
       LoadDigest digest = new LoadDigest("n-1", 1, millis, answered, List.of(), Map.of());
-      Requests.hear(dispatcher, digest, after(millis));
+      Requests.receive(dispatcher, digest, after(millis));
       assertThat(dispatcher.stuck(lost, PATIENCE, after(millis))).isEmpty();
     }
     assertThat(dispatcher.stuck(lost, PATIENCE, after(1_570))).isEmpty();
@@ -68,9 +68,9 @@
     dispatcher.onPrefilled(first, "h", after(100));
     Map<String, EngineDigest> suspects =
         Map.of("p-1", new EngineDigest(1, 0, List.of(), 1, 0, EngineDigest.NOT_HEARD));
-    Requests.hear(
+    Requests.receive(
         dispatcher, new LoadDigest("n-1", 1, 1, suspects, List.of(), Map.of()), after(110));
-    Requests.hear(
+    Requests.receive(
         dispatcher, new LoadDigest("n-2", 1, 1, suspects, List.of(), Map.of()), after(110));
     Duration shortPatience = Duration.ofMillis(200);
     assertThat(dispatcher.stuck(second, shortPatience, after(300))).isEmpty();
--- a/fallturn-core/src/test/java/org/fallturn/core/pace/PaceEstimatorTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/pace/PaceEstimatorTest.java
@@ -112,7 +112,7 @@
     rounds(30, 2);
     pace.retain(id -> !id.equals("a"));
     assertThat(slowness("a")).isEqualTo(1);
-    assertThat(pace.lately("a", KIND, now)).isEqualTo(RecentPace.NONE);
+    assertThat(pace.recent("a", KIND, now)).isEqualTo(RecentPace.NONE);
   }
 
   @Test
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
@@ -100,7 +100,7 @@
     }
 
     int rank() {
-      return node.knowledge.watchOrder().rank();
+      return node.overlay.watchOrder().rank();
     }
 
     void kill() {
@@ -113,10 +113,10 @@
           position > 0,
           position == 0,
           position,
-          node.knowledge.tables().newest(TABLE),
+          node.overlay.tables().newest(TABLE),
           answeredNanos < 0 ? Long.MAX_VALUE : now - answeredNanos,
-          node.knowledge.tables().sinceConfirmedByOthers(TABLE, now),
-          node.knowledge.watchOrder());
+          node.overlay.tables().sinceConfirmedByOthers(TABLE, now),
+          node.overlay.watchOrder());
     }
 
     private void run() {
@@ -158,7 +158,7 @@
       if (step.candidate() >= 0) {
         return List.of(sight.order().askable().get(step.candidate()));
       }
-      List<NetworkAddress> heard = new ArrayList<>(node.knowledge.askable());
+      List<NetworkAddress> heard = new ArrayList<>(node.overlay.askable());
       Collections.rotate(heard, turn++);
       return heard.subList(0, Math.min(4, heard.size()));
     }
@@ -176,11 +176,11 @@
       }
       if (storeVersion > position) {
         idleUntilNanos = now + TimeUnit.MILLISECONDS.toNanos(GATHER_MILLIS);
-        node.knowledge.tables().onSeen(TABLE, storeVersion);
+        node.overlay.tables().onSeen(TABLE, storeVersion);
       }
       position = storeVersion;
       answeredNanos = now;
-      node.knowledge.tables().onConfirmed(TABLE, fleet.millis());
+      node.overlay.tables().onConfirmed(TABLE, fleet.millis());
       plan.onAnswered();
       plan.onLooked(sight.newest(), position, now);
       return true;
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleetTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleetTest.java
@@ -106,7 +106,7 @@
     FollowedFleet fleet = settled(8, NODES, 0);
     Follower liar = fleet.firstWatchers(1).get(0);
     liar.access = Access.SILENT;
-    liar.node.knowledge.tables().onConfirmed(FollowedFleet.TABLE, 1L << 40);
+    liar.node.overlay.tables().onConfirmed(FollowedFleet.TABLE, 1L << 40);
     fleet.run(500);
     assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
   }
@@ -114,7 +114,7 @@
   @Test
   void relayThatTellsOfAChangeThatIsNotThereCostsOneLookANode() {
     FollowedFleet fleet = settled(9, NODES, 0);
-    fleet.firstWatchers(1).get(0).node.knowledge.tables().onSeen(FollowedFleet.TABLE, 999);
+    fleet.firstWatchers(1).get(0).node.overlay.tables().onSeen(FollowedFleet.TABLE, 999);
     assertThat(fleet.callsWhile(() -> fleet.run(3_000))).isLessThan(NODES * 3 / 2);
     assertThat(fleet.changeKnownAfter(BOUND_MILLIS)).isLessThan(BOUND_MILLIS);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FleetKnowledgeTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/RelayOverlayTest.java
@@ -17,7 +17,7 @@
 /**
  * What nodes know of each other, in fleets of 1 to 338 nodes whose nodes are killed and cut off.
  */
-class FleetKnowledgeTest {
+class RelayOverlayTest {
 
   private static final int STRONG = 8_000;
   private static final int WEAK = 800;
@@ -126,7 +126,7 @@
     fleet.run(SETTLED_MILLIS);
     Random random = new Random(seed);
     List<Node> relays =
-        new ArrayList<>(fleet.nodes().stream().filter(node -> node.knowledge.isRelay()).toList());
+        new ArrayList<>(fleet.nodes().stream().filter(node -> node.overlay.isRelay()).toList());
     List<Node> killed = new ArrayList<>();
     for (int victim = 0; victim < 3; victim++) {
       Node node = relays.remove(random.nextInt(relays.size()));
@@ -136,7 +136,7 @@
     for (int passed = 0; passed < 2 * SETTLED_MILLIS; passed += 100) {
       fleet.run(100);
       List<Node> alive = fleet.nodes().stream().filter(node -> !killed.contains(node)).toList();
-      assertThat(alive.stream().filter(node -> node.knowledge.isRelay()).count())
+      assertThat(alive.stream().filter(node -> node.overlay.isRelay()).count())
           .as("relays after %d ms", passed)
           .isBetween(9L, 20L);
       int most = 95 + MEMBERS_A_RELAY * (passed < COUNTED_TWICE_MILLIS ? 3 : 2);
@@ -156,7 +156,7 @@
   void nodesThatAreKilledAreLeftAndForgotten(long seed) {
     SimulatedFleet fleet = fleet(seed, 40, 3);
     fleet.run(SETTLED_MILLIS);
-    List<Node> relays = fleet.nodes().stream().filter(node -> node.knowledge.isRelay()).toList();
+    List<Node> relays = fleet.nodes().stream().filter(node -> node.overlay.isRelay()).toList();
     Node victim = relays.get((int) (seed % relays.size()));
     fleet.kill(victim);
     int withoutView = 0;
@@ -193,7 +193,7 @@
     SimulatedFleet fleet = fleet(7, 60, 3);
     fleet.run(SETTLED_MILLIS);
     Node relay =
-        fleet.nodes().stream().filter(node -> node.knowledge.isRelay()).findFirst().orElseThrow();
+        fleet.nodes().stream().filter(node -> node.overlay.isRelay()).findFirst().orElseThrow();
     fleet.deafen(relay);
     fleet.run(SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
@@ -226,7 +226,7 @@
     fleet.run(SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
       if (node.info.capacity() == WEAK) {
-        assertThat(node.knowledge.isRelay()).isFalse();
+        assertThat(node.overlay.isRelay()).isFalse();
       }
     }
     List<Node> strong =
@@ -244,15 +244,15 @@
   void countOfNodesIsEmptyBeforeAnyIsHeardAndDoesNotGrowWhenRelaysChange() {
     SimulatedFleet fleet = fleet(9, 40, 3);
     Node first = fleet.nodes().iterator().next();
-    assertThat(first.knowledge.cautiousNodeCount(fleet.nowNanos())).isEmpty();
+    assertThat(first.overlay.conservativeNodeCount(fleet.nowNanos())).isEmpty();
     countWhileRunning(fleet, SETTLED_MILLIS);
     Node relay =
-        fleet.nodes().stream().filter(node -> node.knowledge.isRelay()).findFirst().orElseThrow();
+        fleet.nodes().stream().filter(node -> node.overlay.isRelay()).findFirst().orElseThrow();
     fleet.kill(relay);
     countWhileRunning(fleet, 3 * SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
       if (node != relay) {
-        assertThat(node.knowledge.cautiousNodeCount(fleet.nowNanos()).orElseThrow())
+        assertThat(node.overlay.conservativeNodeCount(fleet.nowNanos()).orElseThrow())
             .isBetween(40, 44);
       }
     }
@@ -261,7 +261,7 @@
   private static void countWhileRunning(SimulatedFleet fleet, int forMillis) {
     for (int passed = 0; passed < forMillis; passed += 100) {
       fleet.run(100);
-      fleet.nodes().forEach(node -> node.knowledge.cautiousNodeCount(fleet.nowNanos()));
+      fleet.nodes().forEach(node -> node.overlay.conservativeNodeCount(fleet.nowNanos()));
     }
   }
 
@@ -271,12 +271,12 @@
     fleet.run(SETTLED_MILLIS);
     List<Node> asking =
         fleet.nodes().stream()
-            .filter(node -> node.knowledge.asks(SimulatedFleet.ENGINE, fleet.nowNanos()))
+            .filter(node -> node.overlay.pollsEngine(SimulatedFleet.ENGINE, fleet.nowNanos()))
             .toList();
     assertThat(asking).hasSize(1);
     CacheListing listing =
         CacheListing.of(SimulatedFleet.ENGINE, 0, List.of(new PromptPart("aa", 9_000)));
-    asking.get(0).knowledge.addListing(listing, fleet.nowNanos());
+    asking.get(0).overlay.addListing(listing, fleet.nowNanos());
     fleet.run(500);
     for (Node node : fleet.nodes()) {
       assertThat(node.listed.contains(SimulatedFleet.ENGINE) || node == asking.get(0)).isTrue();
@@ -288,14 +288,14 @@
     SimulatedFleet fleet = fleet(11, 30, 3);
     fleet.run(SETTLED_MILLIS);
     Node started = fleet.restart(fleet.nodes().iterator().next());
-    started.knowledge.setWantsListings(true);
+    started.overlay.setWantsListings(true);
     fleet.run(400);
-    long asked = fleet.nodes().stream().filter(node -> node.knowledge.hasListingRequests()).count();
+    long asked = fleet.nodes().stream().filter(node -> node.overlay.hasListingRequests()).count();
     assertThat(asked).isBetween(1L, 2L);
   }
 
   private static List<Node> watchers(SimulatedFleet fleet) {
-    return fleet.nodes().stream().filter(node -> node.knowledge.watchOrder().rank() < 3).toList();
+    return fleet.nodes().stream().filter(node -> node.overlay.watchOrder().rank() < 3).toList();
   }
 
   @ParameterizedTest
@@ -308,9 +308,7 @@
     fleet.run(SETTLED_MILLIS);
     List<Node> first = watchers(fleet);
     assertThat(first).hasSize(Math.min(3, nodes));
-    assertThat(first)
-        .extracting(node -> node.knowledge.watchOrder().rank())
-        .doesNotHaveDuplicates();
+    assertThat(first).extracting(node -> node.overlay.watchOrder().rank()).doesNotHaveDuplicates();
     first.forEach(fleet::kill);
     fleet.run(SETTLED_MILLIS);
     List<Node> second = new ArrayList<>(watchers(fleet));
@@ -322,7 +320,7 @@
   void nodeWithoutOthersWatchesFirst() {
     SimulatedFleet fleet = fleet(12, 1, 1);
     fleet.run(SETTLED_MILLIS);
-    assertThat(fleet.nodes().iterator().next().knowledge.watchOrder())
+    assertThat(fleet.nodes().iterator().next().overlay.watchOrder())
         .isEqualTo(WatchOrder.ofOne(false));
   }
 
@@ -332,16 +330,16 @@
     SimulatedFleet fleet = fleet(14, 95, 6);
     fleet.run(SETTLED_MILLIS);
     for (Node node : fleet.nodes()) {
-      List<NetworkAddress> askable = node.knowledge.watchOrder().askable();
+      List<NetworkAddress> askable = node.overlay.watchOrder().askable();
       assertThat(askable).isNotEmpty().doesNotContain(node.info.address());
-      if (!node.knowledge.isRelay()) {
+      if (!node.overlay.isRelay()) {
         assertThat(fleet.zoneOf(askable.get(0))).isEqualTo(node.info.zone());
       }
     }
   }
 
   private static long sinceConfirmed(SimulatedFleet fleet, Node node) {
-    return node.knowledge.tables().sinceConfirmedByOthers("engines", fleet.nowNanos());
+    return node.overlay.tables().sinceConfirmedByOthers("engines", fleet.nowNanos());
   }
 
   @Test
@@ -349,13 +347,13 @@
     SimulatedFleet fleet = fleet(15, 95, 6);
     fleet.run(SETTLED_MILLIS);
     Node first = fleet.nodes().iterator().next();
-    first.knowledge.tables().onConfirmed("engines", 4_000);
+    first.overlay.tables().onConfirmed("engines", 4_000);
     fleet.run(500);
     for (Node node : fleet.nodes()) {
       assertThat(node == first || sinceConfirmed(fleet, node) <= 500_000_000L).isTrue();
     }
     fleet.run(1_000);
-    first.knowledge.tables().onConfirmed("engines", 4_000);
+    first.overlay.tables().onConfirmed("engines", 4_000);
     fleet.run(500);
     for (Node node : fleet.nodes()) {
       assertThat(node == first || sinceConfirmed(fleet, node) > 1_000_000_000L).isTrue();
@@ -366,10 +364,10 @@
   void changeThatOneNodeSawIsKnownToAll() {
     SimulatedFleet fleet = fleet(13, 95, 6);
     fleet.run(SETTLED_MILLIS);
-    fleet.nodes().iterator().next().knowledge.tables().onSeen("engines", 57);
+    fleet.nodes().iterator().next().overlay.tables().onSeen("engines", 57);
     fleet.run(500);
     for (Node node : fleet.nodes()) {
-      assertThat(node.knowledge.tables().newest("engines")).isEqualTo(57);
+      assertThat(node.overlay.tables().newest("engines")).isEqualTo(57);
     }
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/SimulatedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/SimulatedFleet.java
@@ -35,13 +35,13 @@
   private long millis = 1_000;
 
   /** A message on its way. */
-  private record Sent(long arrivesAtMillis, Outgoing outgoing) {}
+  private record Sent(long arrivesAtMillis, OutgoingPeerMessage outgoing) {}
 
   /** One node, which has one request at the engine. */
   static final class Node {
     final PeerInfo info;
     final PeerLoads loads = new PeerLoads();
-    final FleetKnowledge knowledge;
+    final RelayOverlay overlay;
     final Map<String, Long> heardOfPrompt = new HashMap<>();
     final Set<String> listed = new HashSet<>();
     int running = 1;
@@ -50,8 +50,8 @@
 
     Node(PeerInfo info, long incarnation, Collection<NetworkAddress> seeds, long nowNanos) {
       this.info = info;
-      this.knowledge =
-          new FleetKnowledge(
+      this.overlay =
+          new RelayOverlay(
               info, "node-" + info.address().host(), incarnation, seeds, loads, nowNanos);
     }
 
@@ -117,7 +117,7 @@
 
   void place(Node node, String partId) {
     node.heardOfPrompt.put(partId, millis);
-    node.knowledge.addPrompts(
+    node.overlay.addPrompts(
         List.of(new PlacedPrompt(ENGINE, 10, List.of(new PromptPart(partId, 5_000)))));
   }
 
@@ -131,7 +131,7 @@
       deliver();
       for (Node node : List.copyOf(nodes.values())) {
         if (!down.contains(node.info.address())) {
-          List<Outgoing> messages = node.knowledge.due(node::own, nowNanos());
+          List<OutgoingPeerMessage> messages = node.overlay.due(node::own, nowNanos());
           node.sent += messages.size();
           messages.forEach(this::send);
         }
@@ -139,7 +139,7 @@
     }
   }
 
-  private void send(Outgoing outgoing) {
+  private void send(OutgoingPeerMessage outgoing) {
     if (random.nextDouble() >= loss) {
       wire.add(new Sent(millis + (long) DELAY_STEPS * STEP_MILLIS, outgoing));
     }
@@ -147,7 +147,7 @@
 
   private void deliver() {
     while (!wire.isEmpty() && wire.peekFirst().arrivesAtMillis <= millis) {
-      Outgoing outgoing = wire.removeFirst().outgoing;
+      OutgoingPeerMessage outgoing = wire.removeFirst().outgoing;
       Node target = nodes.get(outgoing.target());
       boolean lost =
           target == null || down.contains(outgoing.target()) || deaf.contains(outgoing.target());
@@ -159,7 +159,7 @@
 
   private void receive(Node node, PeerMessage message) {
     node.received++;
-    node.knowledge.onMessage(message, nowNanos());
+    node.overlay.onMessage(message, nowNanos());
     for (PlacedPrompt prompt : message.load().prompts()) {
       node.heardOfPrompt.putIfAbsent(prompt.parts().get(0).id(), millis);
     }
--- a/fallturn-core/src/test/java/org/fallturn/core/quarantine/QuarantineTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/quarantine/QuarantineTest.java
@@ -42,8 +42,8 @@
     seenBy.onEngineGone(engineId, at(millis));
   }
 
-  private Standing standing(RequestContent content, long millis) {
-    return quarantine.standing(content, at(millis));
+  private QuarantineStatus status(RequestContent content, long millis) {
+    return quarantine.status(content, at(millis));
   }
 
   private static void tell(Quarantine from, Quarantine to, long millis) {
@@ -53,12 +53,12 @@
   @Test
   void contentIsClearThenSuspectedThenInQuarantine() {
     crash(quarantine, CULPRIT, 1);
-    assertThat(standing(CULPRIT, 110)).isEqualTo(Standing.CLEAR);
+    assertThat(status(CULPRIT, 110)).isEqualTo(QuarantineStatus.CLEAR);
     crash(quarantine, CULPRIT, 2);
-    assertThat(standing(CULPRIT, 210)).isEqualTo(Standing.SUSPECTED);
+    assertThat(status(CULPRIT, 210)).isEqualTo(QuarantineStatus.SUSPECTED);
     crash(quarantine, CULPRIT, 3);
-    assertThat(standing(CULPRIT, 310)).isEqualTo(Standing.QUARANTINED);
-    assertThat(standing(BYSTANDER, 310)).isEqualTo(Standing.CLEAR);
+    assertThat(status(CULPRIT, 310)).isEqualTo(QuarantineStatus.QUARANTINED);
+    assertThat(status(BYSTANDER, 310)).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
@@ -67,9 +67,9 @@
       quarantine.onCrash(CULPRIT, "e-" + engine, at(100L * engine));
     }
     quarantine.onDirectory(engine -> true, at(450));
-    assertThat(standing(CULPRIT, 460)).isEqualTo(Standing.CLEAR);
+    assertThat(status(CULPRIT, 460)).isEqualTo(QuarantineStatus.CLEAR);
     quarantine.onDirectory(engine -> engine.equals("e-4"), at(470));
-    assertThat(standing(CULPRIT, 480)).isEqualTo(Standing.QUARANTINED);
+    assertThat(status(CULPRIT, 480)).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
@@ -92,7 +92,7 @@
     for (String engine : new String[] {"e-1", "e-2", "e-3", "e-4"}) {
       crashOne(quarantine, CULPRIT, engine, 5);
     }
-    assertThat(standing(CULPRIT, 10)).isEqualTo(Standing.SUSPECTED);
+    assertThat(status(CULPRIT, 10)).isEqualTo(QuarantineStatus.SUSPECTED);
   }
 
   @Test
@@ -100,14 +100,14 @@
     crash(quarantine, CULPRIT, 3);
     quarantine.onTick(
         engine -> engine.equals("e-2") ? OptionalLong.of(at(900)) : OptionalLong.empty(), at(900));
-    assertThat(standing(CULPRIT, 910)).isEqualTo(Standing.SUSPECTED);
+    assertThat(status(CULPRIT, 910)).isEqualTo(QuarantineStatus.SUSPECTED);
   }
 
   @Test
   void whatAnEngineSaidRightBeforeItsCrashMayComeLate() {
     crash(quarantine, CULPRIT, 3);
     quarantine.onTick(engine -> OptionalLong.of(at(500)), at(500));
-    assertThat(standing(CULPRIT, 510)).isEqualTo(Standing.QUARANTINED);
+    assertThat(status(CULPRIT, 510)).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
@@ -117,7 +117,7 @@
       crashOne(quarantine, BYSTANDER, engine, 450);
     }
     quarantine.onTick(NOT_HEARD, at(455));
-    assertThat(standing(BYSTANDER, 460)).isEqualTo(Standing.CLEAR);
+    assertThat(status(BYSTANDER, 460)).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
@@ -125,8 +125,8 @@
     crash(quarantine, BYSTANDER, 3);
     crash(quarantine, CULPRIT, 4);
     quarantine.onTick(NOT_HEARD, at(450));
-    assertThat(standing(CULPRIT, 460)).isEqualTo(Standing.QUARANTINED);
-    assertThat(standing(BYSTANDER, 460)).isEqualTo(Standing.CLEAR);
+    assertThat(status(CULPRIT, 460)).isEqualTo(QuarantineStatus.QUARANTINED);
+    assertThat(status(BYSTANDER, 460)).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
@@ -138,8 +138,8 @@
     other.onSuccess(CULPRIT, at(2_100));
     tell(other, quarantine, 2_110);
     tell(quarantine, other, 2_120);
-    assertThat(standing(CULPRIT, 2_130)).isEqualTo(Standing.CLEAR);
-    assertThat(other.standing(CULPRIT, at(2_130))).isEqualTo(Standing.CLEAR);
+    assertThat(status(CULPRIT, 2_130)).isEqualTo(QuarantineStatus.CLEAR);
+    assertThat(other.status(CULPRIT, at(2_130))).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
@@ -147,7 +147,7 @@
     crash(quarantine, CULPRIT, 3);
     quarantine.onTick(NOT_HEARD, at(1_400));
     quarantine.onTick(engine -> OptionalLong.of(at(1_500)), at(1_500));
-    assertThat(standing(CULPRIT, 1_510)).isEqualTo(Standing.QUARANTINED);
+    assertThat(status(CULPRIT, 1_510)).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
@@ -156,10 +156,10 @@
     crashOne(quarantine, CULPRIT, "e-2", 100);
     crashOne(other, CULPRIT, "e-3", 200);
     tell(quarantine, other, 210);
-    assertThat(other.standing(CULPRIT, at(220))).isEqualTo(Standing.QUARANTINED);
-    assertThat(other.takeNews()).isTrue();
+    assertThat(other.status(CULPRIT, at(220))).isEqualTo(QuarantineStatus.QUARANTINED);
+    assertThat(other.takeUrgentChange()).isTrue();
     tell(other, quarantine, 220);
-    assertThat(standing(CULPRIT, 230)).isEqualTo(Standing.QUARANTINED);
+    assertThat(status(CULPRIT, 230)).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
@@ -168,7 +168,7 @@
     quarantine.takeReports(false, at(310));
     quarantine.onTick(NOT_HEARD, at(5_000));
     tell(quarantine, other, 5_000);
-    assertThat(other.standing(CULPRIT, at(5_010))).isEqualTo(Standing.QUARANTINED);
+    assertThat(other.status(CULPRIT, at(5_010))).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
@@ -181,8 +181,8 @@
       tell(quarantine, other, millis);
       tell(other, quarantine, millis);
     }
-    assertThat(standing(CULPRIT, millis)).isEqualTo(Standing.CLEAR);
-    assertThat(other.standing(CULPRIT, at(millis))).isEqualTo(Standing.CLEAR);
+    assertThat(status(CULPRIT, millis)).isEqualTo(QuarantineStatus.CLEAR);
+    assertThat(other.status(CULPRIT, at(millis))).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
@@ -191,8 +191,8 @@
     for (int number = 0; number < 3 * Quarantine.MAX_SUSPECTS; number++) {
       crashOne(quarantine, content("flood-" + number), "f-" + number, 500);
     }
-    assertThat(standing(CULPRIT, 510)).isEqualTo(Standing.QUARANTINED);
-    assertThat(standing(content("flood-0"), 510)).isEqualTo(Standing.CLEAR);
+    assertThat(status(CULPRIT, 510)).isEqualTo(QuarantineStatus.QUARANTINED);
+    assertThat(status(content("flood-0"), 510)).isEqualTo(QuarantineStatus.CLEAR);
   }
 
   @Test
@@ -216,8 +216,8 @@
 
   @Test
   void whatTheStoreHoldsIsHeldBackFromTheStartAndRenewedWhileItIsAskedFor() {
-    quarantine.onRecalled(CULPRIT.fingerprint(), Quarantine.LIFETIME_MILLIS / 2, at(0));
-    assertThat(standing(CULPRIT, 10)).isEqualTo(Standing.QUARANTINED);
+    quarantine.onLoadedFromStore(CULPRIT.fingerprint(), Quarantine.LIFETIME_MILLIS / 2, at(0));
+    assertThat(status(CULPRIT, 10)).isEqualTo(QuarantineStatus.QUARANTINED);
     quarantine.takeUnstored(at(20));
     assertThat(quarantine.takeUnstored(at(20_000))).containsExactly(CULPRIT.fingerprint());
   }
@@ -237,7 +237,7 @@
     quarantine.onStored(CULPRIT.fingerprint(), at(70));
     tell(quarantine, other, 70);
     other.onTick(NOT_HEARD, at(80));
-    assertThat(other.standing(CULPRIT, at(90))).isEqualTo(Standing.SUSPECTED);
+    assertThat(other.status(CULPRIT, at(90))).isEqualTo(QuarantineStatus.SUSPECTED);
     assertThat(other.takeReleased()).isEmpty();
   }
 
@@ -252,10 +252,11 @@
     Quarantine later = new Quarantine("node-1");
     stored.forEach(
         (content, engines) ->
-            later.onRecalled(new QuarantineStore.Held(content, 100, engines), at(1_000)));
-    assertThat(later.standing(CULPRIT, at(1_010))).isEqualTo(Standing.SUSPECTED);
+            later.onLoadedFromStore(
+                new QuarantineStore.StoredContent(content, 100, engines), at(1_000)));
+    assertThat(later.status(CULPRIT, at(1_010))).isEqualTo(QuarantineStatus.SUSPECTED);
     crashOne(later, CULPRIT, "e-3", 1_100);
-    assertThat(later.standing(CULPRIT, at(1_110))).isEqualTo(Standing.QUARANTINED);
+    assertThat(later.status(CULPRIT, at(1_110))).isEqualTo(QuarantineStatus.QUARANTINED);
   }
 
   @Test
@@ -271,23 +272,23 @@
   void contentUnderSuspicionIsSentOnceAtATime() {
     quarantine.onSent(CULPRIT, "request-1");
     crash(quarantine, CULPRIT, 2);
-    assertThat(standing(CULPRIT, 1_000)).isEqualTo(Standing.QUARANTINED);
+    assertThat(status(CULPRIT, 1_000)).isEqualTo(QuarantineStatus.QUARANTINED);
     quarantine.onEnded("request-1");
-    assertThat(standing(CULPRIT, 1_010)).isEqualTo(Standing.SUSPECTED);
+    assertThat(status(CULPRIT, 1_010)).isEqualTo(QuarantineStatus.SUSPECTED);
   }
 
   @Test
   void contentUnderSuspicionWaitsUntilItIsKnownWhetherAnotherEngineCrashed() {
     crash(quarantine, CULPRIT, 2);
     quarantine.onCrash(CULPRIT, "e-3", at(300));
-    assertThat(standing(CULPRIT, 310)).isEqualTo(Standing.QUARANTINED);
-    assertThat(standing(CULPRIT, 900)).isEqualTo(Standing.SUSPECTED);
+    assertThat(status(CULPRIT, 310)).isEqualTo(QuarantineStatus.QUARANTINED);
+    assertThat(status(CULPRIT, 900)).isEqualTo(QuarantineStatus.SUSPECTED);
     assertThat(quarantine.takeUnstored(at(910))).isEmpty();
   }
 
   @Test
   void releasedContentIsTakenFromTheStore() {
-    quarantine.onRecalled(CULPRIT.fingerprint(), 1_000, at(0));
+    quarantine.onLoadedFromStore(CULPRIT.fingerprint(), 1_000, at(0));
     quarantine.onSuccess(CULPRIT, at(100));
     assertThat(quarantine.takeReleased()).containsExactly(CULPRIT.fingerprint());
     assertThat(quarantine.takeReleased()).isEmpty();
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CrashReportText.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CrashReportText.java
@@ -30,7 +30,7 @@
   }
 
   private static String write(SeenCrash crash) {
-    return crash.engineId() + ':' + crash.ageMillis() + ':' + crash.sure();
+    return crash.engineId() + ':' + crash.ageMillis() + ':' + crash.engineGone();
   }
 
   /**
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.TimeUnit;
 import org.fallturn.core.dispatch.AttemptOutcome;
 import org.fallturn.core.dispatch.Decision;
-import org.fallturn.core.dispatch.Expectation;
 import org.fallturn.core.dispatch.HealthChange;
 import org.fallturn.core.dispatch.LeavingNotice;
 import org.fallturn.core.dispatch.LimitChange;
+import org.fallturn.core.dispatch.PlacementEstimate;
 import org.fallturn.core.dispatch.PromptPart;
 import org.fallturn.core.dispatch.PromptShape;
 import org.fallturn.core.dispatch.RequestProgress;
@@ -16,8 +16,8 @@
 import org.fallturn.core.error.ErrorKind;
 import org.fallturn.core.following.FollowStep;
 import org.fallturn.core.pace.PaceChange;
+import org.fallturn.core.quarantine.QuarantineStatusChange;
 import org.fallturn.core.quarantine.RequestFingerprint;
-import org.fallturn.core.quarantine.StandingChange;
 import org.fallturn.core.routing.EngineDirectory;
 import org.fallturn.core.routing.RoutingImage;
 import org.fallturn.core.routing.ServingEngine;
@@ -269,10 +269,10 @@
     line(LogEvent.ENGINE_GONE).addKeyValue("engine", engineId).log();
   }
 
-  void standingChanged(StandingChange change) {
-    line(LogEvent.STANDING_CHANGED, change.standing().name())
+  void standingChanged(QuarantineStatusChange change) {
+    line(LogEvent.STANDING_CHANGED, change.status().name())
         .addKeyValue("content", change.content())
-        .addKeyValue("standing", change.standing())
+        .addKeyValue("standing", change.status())
         .addKeyValue("engines", change.engines())
         .log();
   }
@@ -370,12 +370,12 @@
 
   void decided(Exchange exchange, Decision decision) {
     if (decision instanceof Decision.Prefill prefill) {
-      placed(exchange, prefill.engine(), prefill.expectation(), prefill.urgency())
+      placed(exchange, prefill.engine(), prefill.estimate(), prefill.urgency())
           .addKeyValue("stage", "prefill")
           .addKeyValue("fetchFrom", prefill.fetchFrom().map(ServingEngine::id).orElse(""))
           .log();
     } else if (decision instanceof Decision.Run run) {
-      placed(exchange, run.engine(), run.expectation(), run.urgency())
+      placed(exchange, run.engine(), run.estimate(), run.urgency())
           .addKeyValue("stage", "run")
           .addKeyValue("fetchFrom", run.fetchFrom().map(ServingEngine::id).orElse(""))
           .addKeyValue("source", run.source().map(from -> from.engine().id()).orElse(""))
@@ -430,15 +430,15 @@
   }
 
   private LoggingEventBuilder placed(
-      Exchange exchange, ServingEngine engine, Expectation expectation, int urgency) {
+      Exchange exchange, ServingEngine engine, PlacementEstimate estimate, int urgency) {
     return line(LogEvent.PLACED, exchange)
         .addKeyValue("engine", engine.id())
         .addKeyValue("address", engine.address())
-        .addKeyValue("arrivals", exchange.progress().arrivals())
-        .addKeyValue("expectedMs", Math.round(expectation.millis()))
-        .addKeyValue("readTokens", expectation.readTokens())
-        .addKeyValue("aheadTokens", expectation.aheadTokens())
-        .addKeyValue("pacePercent", expectation.pacePercent())
+        .addKeyValue("arrivals", exchange.progress().runSends())
+        .addKeyValue("expectedMs", Math.round(estimate.millis()))
+        .addKeyValue("readTokens", estimate.readTokens())
+        .addKeyValue("aheadTokens", estimate.aheadTokens())
+        .addKeyValue("pacePercent", estimate.pacePercent())
         .addKeyValue("urgency", urgency)
         .addKeyValue("sharedPart", sharedPart(exchange))
         .addKeyValue("routingVersion", routingVersion)
@@ -473,7 +473,7 @@
     line(LogEvent.STUCK, exchange, reason.name())
         .addKeyValue("engine", attempt.call().engine().id())
         .addKeyValue("reason", reason)
-        .addKeyValue("patienceMs", attempt.patience().duration().toMillis())
+        .addKeyValue("patienceMs", attempt.timeout().duration().toMillis())
         .addKeyValue("prefill", attempt.call().prefillOnly())
         .log();
   }
@@ -489,7 +489,7 @@
 
   void finished(Exchange exchange, long nowNanos) {
     metrics.whole(nowNanos - exchange.envelope().arrivedNanos());
-    line(LogEvent.FINISHED, exchange).addKeyValue("arrivals", exchange.progress().arrivals()).log();
+    line(LogEvent.FINISHED, exchange).addKeyValue("arrivals", exchange.progress().runSends()).log();
   }
 
   void callerGone(Exchange exchange) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -12,7 +12,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import org.fallturn.core.dispatch.AttemptOutcome;
-import org.fallturn.core.dispatch.AttemptPatience;
+import org.fallturn.core.dispatch.AttemptTimeout;
 import org.fallturn.core.dispatch.CacheSource;
 import org.fallturn.core.dispatch.Decision;
 import org.fallturn.core.dispatch.Dispatcher;
@@ -146,14 +146,14 @@
     } else if (event instanceof DispatchEvent.EngineGone gone) {
       keeper.onEngineGone(gone.engineId(), now);
     } else if (event instanceof DispatchEvent.QuarantineLoaded recalled) {
-      dispatcher.quarantine().onRecalled(recalled.held(), now);
+      dispatcher.quarantine().onLoadedFromStore(recalled.held(), now);
     } else if (event instanceof DispatchEvent.QuarantineStored stored) {
       dispatcher.quarantine().onStored(stored.content(), now);
     } else if (event instanceof DispatchEvent.ParametersChanged changed) {
       dispatcher.setParameters(changed.parameters());
     } else if (event instanceof DispatchEvent.UsageReported reported) {
       runs.onReported(reported.window());
-    } else if (event instanceof DispatchEvent.BaselineKnown known) {
+    } else if (event instanceof DispatchEvent.InitialCountsKnown known) {
       scaling.onInitialCounts(known.service(), known.byZone());
     } else if (event instanceof DispatchEvent.ScaleOrderAnswered answered) {
       scaling.onAnswer(answered.order(), answered.outcome(), now);
@@ -295,12 +295,12 @@
               prefill.fetchFrom(),
               prefill.urgency(),
               now),
-          prefill.patience());
+          prefill.timeout());
     } else if (decision instanceof Decision.Run run) {
       send(
           exchange,
           call(exchange, run.engine(), false, run.source(), run.fetchFrom(), run.urgency(), now),
-          run.patience());
+          run.timeout());
     } else if (decision instanceof Decision.Wait) {
       exchange.beginWait(now);
       waitingForEngine.put(exchange.progress(), exchange);
@@ -324,8 +324,8 @@
     log.waiting(dispatcher.waitingCount(), dispatcher.waitingBytes());
   }
 
-  private void resumeWaiting(List<Dispatcher.Ended> ended, long now) {
-    for (Dispatcher.Ended end : ended) {
+  private void resumeWaiting(List<Dispatcher.EndedWait> ended, long now) {
+    for (Dispatcher.EndedWait end : ended) {
       Exchange exchange = waitingForEngine.remove(end.progress());
       if (exchange != null) {
         log.waited(exchange, now);
@@ -357,8 +357,8 @@
     return Duration.ofNanos(Math.max(0, exchange.envelope().remainingNanos(now)));
   }
 
-  private void send(Exchange exchange, EngineCall call, AttemptPatience patience) {
-    EngineAttempt attempt = new EngineAttempt(exchange, call, engines.protocol(), patience);
+  private void send(Exchange exchange, EngineCall call, AttemptTimeout timeout) {
+    EngineAttempt attempt = new EngineAttempt(exchange, call, engines.protocol(), timeout);
     exchange.setAttempt(attempt);
     engines.send(exchange, attempt);
   }
@@ -372,7 +372,7 @@
   public void onBatchEnd() {
     long now = System.nanoTime();
     resumeWaiting(now);
-    if (dispatcher.quarantine().takeNews()) {
+    if (dispatcher.quarantine().takeUrgentChange()) {
       peers.tellNow(now);
       updateQuarantine(now);
     } else if (dispatcher.fleet().hasNewPrompts()) {
@@ -465,11 +465,11 @@
     if (attempt == null || !attempt.waiting()) {
       return;
     }
-    AttemptPatience patience = attempt.patience();
-    Optional<StuckReason> stuck = dispatcher.stuck(exchange.progress(), patience.duration(), now);
+    AttemptTimeout timeout = attempt.timeout();
+    Optional<StuckReason> stuck = dispatcher.stuck(exchange.progress(), timeout.duration(), now);
     if (stuck.isPresent() && attempt.cancel("no answer in time")) {
       AttemptOutcome outcome =
-          attempt.maybeSent() ? stuck.get().outcome(patience) : AttemptOutcome.NOT_SENT;
+          attempt.maybeSent() ? stuck.get().outcome(timeout) : AttemptOutcome.NOT_SENT;
       log.stuck(exchange, attempt, stuck.get());
       onFailed(new DispatchEvent.AttemptFailed(exchange, attempt, outcome), now);
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchEvent.java
@@ -66,7 +66,7 @@
   record UsageReported(long window) implements DispatchEvent {}
 
   /** The number of engines by zone that a service had before any was ordered became known. */
-  record BaselineKnown(String service, Map<String, Integer> byZone) implements DispatchEvent {}
+  record InitialCountsKnown(String service, Map<String, Integer> byZone) implements DispatchEvent {}
 
   /** An order for engines ended: it was answered, or no answer came. */
   record ScaleOrderAnswered(ScaleOrder order, DutyOutcome outcome) implements DispatchEvent {}
@@ -81,7 +81,7 @@
   record EngineGone(String engineId) implements DispatchEvent {}
 
   /** A request content in quarantine or under suspicion was read from the store. */
-  record QuarantineLoaded(QuarantineStore.Held held) implements DispatchEvent {}
+  record QuarantineLoaded(QuarantineStore.StoredContent held) implements DispatchEvent {}
 
   /** The store saved a request content in quarantine. */
   record QuarantineStored(RequestFingerprint content) implements DispatchEvent {}
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.util.BufferUtil;
 import org.eclipse.jetty.util.Callback;
 import org.fallturn.core.dispatch.AttemptOutcome;
-import org.fallturn.core.dispatch.AttemptPatience;
+import org.fallturn.core.dispatch.AttemptTimeout;
 import org.fallturn.node.json.MalformedMessageException;
 
 /**
@@ -45,7 +45,7 @@
   private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
   private volatile Request request;
   private volatile boolean maybeSent;
-  private final AttemptPatience patience;
+  private final AttemptTimeout timeout;
   private volatile EngineAnswerHead head;
   private volatile HttpFields headers;
   private volatile boolean streamed;
@@ -54,11 +54,11 @@
   private boolean beganPosted;
 
   EngineAttempt(
-      Exchange exchange, EngineCall call, EngineProtocol protocol, AttemptPatience patience) {
+      Exchange exchange, EngineCall call, EngineProtocol protocol, AttemptTimeout timeout) {
     this.exchange = exchange;
     this.call = call;
     this.protocol = protocol;
-    this.patience = patience;
+    this.timeout = timeout;
   }
 
   EngineCall call() {
@@ -93,8 +93,8 @@
   }
 
   /** How long the engine may take to show any sign of an answer. */
-  AttemptPatience patience() {
-    return patience;
+  AttemptTimeout timeout() {
+    return timeout;
   }
 
   /** Whether any byte of the request may have reached the engine. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -22,7 +22,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.following.FollowBounds;
 import org.fallturn.core.following.WatchOrder;
-import org.fallturn.core.peers.FleetKnowledge;
+import org.fallturn.core.peers.RelayOverlay;
 import org.fallturn.core.port.feed.FeedRow;
 import org.fallturn.core.port.feed.FeedTracker;
 import org.fallturn.core.port.feed.RowFeed;
@@ -82,7 +82,7 @@
   private final EngineClient engines;
   private final PeerPorts peerPorts;
   private final PeerExchange peers;
-  private final FleetKnowledge knowledge;
+  private final RelayOverlay overlay;
   private final CacheSurvey survey;
   private final PeerSnapshots snapshots;
   private final FollowCounts followCounts = new FollowCounts();
@@ -140,8 +140,8 @@
     DutyContext duties =
         new DutyContext(newOrderLease(parameters), settings.nodeName(), this::tell, log);
     this.stages = new StageDuty(duties, new EngineOrders(engines));
-    this.knowledge =
-        new FleetKnowledge(
+    this.overlay =
+        new RelayOverlay(
             settings.peerInfo(peerPorts.address()),
             settings.nodeName(),
             System.currentTimeMillis(),
@@ -152,9 +152,9 @@
         new CacheSurvey(
             engines,
             this::tell,
-            engine -> knowledge.asks(engine, System.nanoTime()),
+            engine -> overlay.pollsEngine(engine, System.nanoTime()),
             settings.firstStart());
-    PeerTalk talk = new PeerTalk(knowledge, dispatcher, survey, peers::send);
+    PeerTalk talk = new PeerTalk(overlay, dispatcher, survey, peers::send);
     this.quarantine =
         new QuarantineDuty(platform.quarantine().create(engines.client()), this::tell, log);
     this.keeper =
@@ -176,7 +176,7 @@
     this.dispatch = new DutyThread<>("dispatch", RING_SIZE, TICK, duty);
     this.callers = newCallersConnector(callerSocket);
     this.snapshots =
-        new PeerSnapshots(engines.client(), knowledge::askable, knowledge.tables()::newest);
+        new PeerSnapshots(engines.client(), overlay::askable, overlay.tables()::newest);
     this.routingFollower =
         newFollower(ROUTING, platform.routingFeed(), this::onRoutingRows, Duration.ZERO);
     state.setRouting(routingFollower);
@@ -232,7 +232,7 @@
         settings.duties().usage().orElseThrow(),
         new WallClock(System::nanoTime, System::currentTimeMillis),
         settings.firstStart(),
-        new UsageFleet(knowledge, dispatcher, talk, settings.nodeName()),
+        new UsageFleet(overlay, dispatcher, talk, settings.nodeName()),
         usage.get()::offer);
   }
 
@@ -281,7 +281,7 @@
    * come first: every port takes processor time that those who wait would wait for.
    */
   public void start() throws Exception {
-    knowledge.tables().setOnNews(() -> bells.forEach(NewsBell::ring));
+    overlay.tables().setOnNewerVersion(() -> bells.forEach(NewsBell::ring));
     dispatch.start(DutyState.HELD_ALONE, faults);
     peers.start(faults);
     stages.start(faults);
@@ -315,7 +315,7 @@
     metrics.gauge("contents_in_quarantine", keeper::quarantined);
     metrics.gauge("stage_changes_abandoned", stages::abandoned);
     metrics.gauge("nodes", this::nodeCount);
-    metrics.gauge("relay", () -> knowledge.isRelay() ? 1 : 0);
+    metrics.gauge("relay", () -> overlay.isRelay() ? 1 : 0);
     peers.addTo(metrics);
     followCounts.addTo(metrics);
     metrics.gauge("store_lost", () -> state.storeLost() ? 1 : 0);
@@ -349,7 +349,7 @@
 
   /** Gateways that this one knows of, itself included. */
   public int nodeCount() {
-    return knowledge.nodeCount();
+    return overlay.nodeCount();
   }
 
   /** Engines that are listed. */
@@ -443,29 +443,29 @@
     return new RowFollower.Others() {
       @Override
       public long newestChange() {
-        return knowledge.tables().newest(table);
+        return overlay.tables().newest(table);
       }
 
       @Override
       public long sinceConfirmedNanos() {
-        return knowledge.tables().sinceConfirmedByOthers(table, System.nanoTime());
+        return overlay.tables().sinceConfirmedByOthers(table, System.nanoTime());
       }
 
       @Override
       public WatchOrder order() {
-        return knowledge.watchOrder();
+        return overlay.watchOrder();
       }
 
       @Override
       public void onConfirmed(long storeMillis) {
-        knowledge.tables().onConfirmed(table, storeMillis);
+        overlay.tables().onConfirmed(table, storeMillis);
       }
     };
   }
 
   private void onRoutingRows(FeedTracker tracker) {
     snapshots.keep(ROUTING, tracker);
-    knowledge.tables().onSeen(ROUTING, tracker.newestChange());
+    overlay.tables().onSeen(ROUTING, tracker.newestChange());
     for (FeedRow row : tracker.rows()) {
       if (platform.isRouting().test(row)) {
         takeRouting(row);
@@ -490,7 +490,7 @@
 
   private void onEngineRows(FeedTracker tracker) {
     snapshots.keep(ENGINES, tracker);
-    knowledge.tables().onSeen(ENGINES, tracker.newestChange());
+    overlay.tables().onSeen(ENGINES, tracker.newestChange());
     directory = EngineDirectory.of(tracker.position(), engineRows.read(tracker.rows()));
     tell(new DispatchEvent.DirectoryChanged(directory));
     state.setEnginesKnown();
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
@@ -106,7 +106,7 @@
     EngineAnswerHead head = protocol.readHead(response.getStatus(), response.getHeaders());
     if (head.belongsTo(requestId)
         && protocol.readNotice(response.getStatus(), response.getHeaders()).unlimited()) {
-      notices.limits().onNoneNamed(engine.id(), sentNanos);
+      notices.limits().onNoLimitAnnounced(engine.id(), sentNanos);
     }
   }
 
@@ -118,7 +118,7 @@
     notice.rest().ifPresent(rest -> onRest(engine, rest, now));
     notice
         .perSecond()
-        .ifPresent(limit -> notices.limits().onNamed(engine.id(), limit, sentNanos, now));
+        .ifPresent(limit -> notices.limits().onLimitAnnounced(engine.id(), limit, sentNanos, now));
     notice.load().ifPresent(load -> notices.reportedLoads().onLoadReported(engine.id(), load, now));
     notice.unreadable().forEach(text -> logUnreadable(engine, text));
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
@@ -19,9 +19,9 @@
 import org.fallturn.core.dispatch.PlacedPrompt;
 import org.fallturn.core.dispatch.PromptPart;
 import org.fallturn.core.domain.NetworkAddress;
+import org.fallturn.core.limits.AnnouncedLimitDigest;
 import org.fallturn.core.limits.BudgetDigest;
 import org.fallturn.core.limits.LimitDigest;
-import org.fallturn.core.limits.LimitWord;
 import org.fallturn.core.limits.RateDigest;
 import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.peers.KnownPeer;
@@ -234,13 +234,14 @@
 
   private static String text(LimitDigest limit) {
     RateDigest rate = limit.rate();
-    LimitWord word = limit.word();
+    AnnouncedLimitDigest word = limit.word();
     StringJoiner text = new StringJoiner(",");
     for (int number : new int[] {rate.nodes(), rate.weight(), rate.held(), rate.sent()}) {
       text.add(Integer.toString(number));
     }
     text.add(Double.toString(word.perSecond()));
-    text.add(Integer.toString(word.namedAgoMillis())).add(Integer.toString(word.endedAgoMillis()));
+    text.add(Integer.toString(word.announcedAgoMillis()))
+        .add(Integer.toString(word.endedAgoMillis()));
     return text.toString();
   }
 
@@ -443,8 +444,8 @@
               Integer.parseInt(fields[1]),
               Integer.parseInt(fields[2]),
               Integer.parseInt(fields[3]));
-      LimitWord word =
-          new LimitWord(
+      AnnouncedLimitDigest word =
+          new AnnouncedLimitDigest(
               Double.parseDouble(fields[4]),
               Integer.parseInt(fields[5]),
               Integer.parseInt(fields[6]));
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerExchange.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerExchange.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.peers.MessageKind;
-import org.fallturn.core.peers.Outgoing;
+import org.fallturn.core.peers.OutgoingPeerMessage;
 import org.fallturn.core.peers.PeerMessage;
 import org.fallturn.node.duty.FaultListener;
 import org.fallturn.node.gossip.UdpSocket;
@@ -73,10 +73,10 @@
   /**
    * Sends messages; best effort. A message that follows itself to other targets is written once.
    */
-  void send(List<Outgoing> messages) {
+  void send(List<OutgoingPeerMessage> messages) {
     PeerMessage written = null;
     byte[] datagram = new byte[0];
-    for (Outgoing outgoing : messages) {
+    for (OutgoingPeerMessage outgoing : messages) {
       if (outgoing.message() != written) {
         written = outgoing.message();
         datagram = codec.encode(written);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerTalk.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerTalk.java
@@ -6,10 +6,10 @@
 import java.util.function.Consumer;
 import org.fallturn.core.dispatch.CacheListing;
 import org.fallturn.core.dispatch.Dispatcher;
-import org.fallturn.core.peers.FleetKnowledge;
-import org.fallturn.core.peers.Outgoing;
+import org.fallturn.core.peers.OutgoingPeerMessage;
 import org.fallturn.core.peers.OwnLoad;
 import org.fallturn.core.peers.PeerMessage;
+import org.fallturn.core.peers.RelayOverlay;
 import org.fallturn.core.usage.UsageNews;
 
 /**
@@ -20,38 +20,38 @@
 
   private static final long COUNT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  private final FleetKnowledge knowledge;
+  private final RelayOverlay overlay;
   private final Dispatcher dispatcher;
   private final CacheSurvey survey;
-  private final Consumer<List<Outgoing>> sender;
+  private final Consumer<List<OutgoingPeerMessage>> sender;
   private long countedNanos;
 
   PeerTalk(
-      FleetKnowledge knowledge,
+      RelayOverlay overlay,
       Dispatcher dispatcher,
       CacheSurvey survey,
-      Consumer<List<Outgoing>> sender) {
-    this.knowledge = knowledge;
+      Consumer<List<OutgoingPeerMessage>> sender) {
+    this.overlay = overlay;
     this.dispatcher = dispatcher;
     this.survey = survey;
     this.sender = sender;
-    dispatcher.setNodeCount(knowledge.cautiousNodeCount(System.nanoTime()));
+    dispatcher.setNodeCount(overlay.conservativeNodeCount(System.nanoTime()));
   }
 
   /** Another node spoke. */
   void onHeard(PeerMessage message, long nowNanos) {
-    knowledge.onMessage(message, nowNanos);
+    overlay.onMessage(message, nowNanos);
     dispatcher.fleet().onPeerReport(message.load(), nowNanos);
     message.crashes().forEach(report -> dispatcher.quarantine().onPeerReport(report, nowNanos));
     for (CacheListing listing : message.listings()) {
       dispatcher.fleet().onPeerCacheListing(listing, nowNanos);
       survey.onPeerReport(listing.engineId(), nowNanos);
     }
-    if (knowledge.hasTableNews()) {
+    if (overlay.hasUnsentTableVersions()) {
       tell(nowNanos);
     }
-    if (knowledge.hasListingRequests()) {
-      sender.accept(knowledge.answerListings(dispatcher.fleet().cacheListings(nowNanos), nowNanos));
+    if (overlay.hasListingRequests()) {
+      sender.accept(overlay.answerListings(dispatcher.fleet().cacheListings(nowNanos), nowNanos));
     }
   }
 
@@ -62,22 +62,22 @@
         .ifPresent(
             kept -> {
               long age = TimeUnit.NANOSECONDS.toMillis(nowNanos - answer.askedAtNanos());
-              knowledge.addListing(CacheListing.of(answer.engineId(), age, kept.parts()), nowNanos);
+              overlay.addListing(CacheListing.of(answer.engineId(), age, kept.parts()), nowNanos);
             });
   }
 
   /** Sends what is due; called at each tick, and when prompts may have been placed. */
   void tell(long nowNanos) {
     if (dispatcher.fleet().hasNewPrompts()) {
-      knowledge.addPrompts(dispatcher.fleet().takeNewPrompts());
+      overlay.addPrompts(dispatcher.fleet().takeNewPrompts());
     }
     sender.accept(
-        knowledge.due(
+        overlay.due(
             () ->
                 new OwnLoad(
                     dispatcher.fleet().ownLoads(nowNanos),
                     dispatcher.fleet().ownSpeeds(),
-                    dispatcher.quarantine().takeReports(knowledge.hasMembers(nowNanos), nowNanos),
+                    dispatcher.quarantine().takeReports(overlay.hasMembers(nowNanos), nowNanos),
                     dispatcher.stages().mayOrder(nowNanos),
                     dispatcher.ownBudgets(nowNanos)),
             nowNanos));
@@ -85,24 +85,24 @@
 
   /** Tells the others at once. */
   void tellNow(long nowNanos) {
-    knowledge.onUrgentChange();
+    overlay.onUrgentChange();
     tell(nowNanos);
   }
 
   /** Tells the nodes that collect what this one has counted. */
-  void tellUsage(UsageNews news) {
-    sender.accept(knowledge.tellUsage(news));
+  void usageMessages(UsageNews news) {
+    sender.accept(overlay.usageMessages(news));
   }
 
   /** Takes the number of nodes, and asks engines what they keep. */
   void onTick(long nowNanos) {
     if (nowNanos - countedNanos >= COUNT_NANOS) {
       countedNanos = nowNanos;
-      OptionalInt nodes = knowledge.cautiousNodeCount(nowNanos);
+      OptionalInt nodes = overlay.conservativeNodeCount(nowNanos);
       dispatcher.setNodeCount(nodes);
-      dispatcher.stages().setCandidate(knowledge.collects());
+      dispatcher.stages().setCandidate(overlay.collects());
       survey.onTick(nowNanos);
-      knowledge.setWantsListings(survey.wantsListings(nowNanos));
+      overlay.setWantsListings(survey.wantsListings(nowNanos));
     }
     tell(nowNanos);
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineDuty.java
@@ -132,7 +132,7 @@
   private void recall() throws StoreException {
     Set<RequestFingerprint> live = new HashSet<>();
     Set<RequestFingerprint> lapsed = new HashSet<>();
-    for (QuarantineStore.Held held : store.read()) {
+    for (QuarantineStore.StoredContent held : store.read()) {
       if (held.ageMillis() > Quarantine.LIFETIME_MILLIS) {
         lapsed.add(held.content());
       } else {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineKeeper.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineKeeper.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import org.fallturn.core.dispatch.Dispatcher;
 import org.fallturn.core.quarantine.Quarantine;
+import org.fallturn.core.quarantine.QuarantineStatusChange;
 import org.fallturn.core.quarantine.RequestFingerprint;
-import org.fallturn.core.quarantine.StandingChange;
 
 /**
  * Carries out what the quarantine asks for: engines are probed, the store is written, changes are
@@ -38,9 +38,9 @@
     quarantine.takeReleased().forEach(store::remove);
     quarantined = quarantine.quarantined();
     List<RequestFingerprint> added = new ArrayList<>();
-    for (StandingChange change : quarantine.takeChanges()) {
+    for (QuarantineStatusChange change : quarantine.takeChanges()) {
       log.standingChanged(change);
-      if (!change.standing().sendable()) {
+      if (!change.status().sendable()) {
         added.add(change.content());
       }
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/ScaleDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/ScaleDuty.java
@@ -51,7 +51,7 @@
     try {
       if (wish instanceof ScaleAction.RecordInitialCounts fix) {
         Map<String, Integer> fixed = standing.fix(fix.service(), fix.observed());
-        duty.events().accept(new DispatchEvent.BaselineKnown(fix.service(), fixed));
+        duty.events().accept(new DispatchEvent.InitialCountsKnown(fix.service(), fixed));
       } else if (wish instanceof ScaleAction.SendOrder give) {
         give(give.order());
       }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
@@ -1,7 +1,7 @@
 package org.fallturn.node.gateway;
 
 import org.fallturn.core.dispatch.Dispatcher;
-import org.fallturn.core.peers.FleetKnowledge;
+import org.fallturn.core.peers.RelayOverlay;
 import org.fallturn.core.usage.UsageNews;
 
 /**
@@ -9,17 +9,17 @@
  *
  * @param node name of this node
  */
-record UsageFleet(FleetKnowledge knowledge, Dispatcher dispatcher, PeerTalk talk, String node)
+record UsageFleet(RelayOverlay overlay, Dispatcher dispatcher, PeerTalk talk, String node)
     implements UsageTally.Fleet {
 
   @Override
   public long incarnation() {
-    return knowledge.incarnation();
+    return overlay.incarnation();
   }
 
   @Override
   public boolean collects() {
-    return knowledge.collects();
+    return overlay.collects();
   }
 
   @Override
@@ -29,6 +29,6 @@
 
   @Override
   public void tell(UsageNews news) {
-    talk.tellUsage(news);
+    talk.usageMessages(news);
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
@@ -95,7 +95,7 @@
   private static final class EmptyQuarantine implements QuarantineStore {
 
     @Override
-    public List<Held> read() {
+    public List<StoredContent> read() {
       return List.of();
     }
 
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
@@ -160,7 +160,7 @@
     QuarantineStore store =
         new QuarantineStore() {
           @Override
-          public List<Held> read() {
+          public List<StoredContent> read() {
             return List.of();
           }
 
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
@@ -12,9 +12,9 @@
 import java.util.Map;
 import org.fallturn.core.dispatch.EngineDigest;
 import org.fallturn.core.dispatch.LoadDigest;
+import org.fallturn.core.limits.AnnouncedLimitDigest;
 import org.fallturn.core.limits.BudgetDigest;
 import org.fallturn.core.limits.LimitDigest;
-import org.fallturn.core.limits.LimitWord;
 import org.fallturn.core.limits.RateDigest;
 import org.fallturn.core.pace.RecentPace;
 import org.fallturn.core.peers.MessageKind;
@@ -79,7 +79,8 @@
     byte[] bytes = recorded("message-VIEW.json");
     PeerMessage message = codec.decode(bytes);
     Map<String, EngineDigest> engines = new HashMap<>(message.load().engines());
-    LimitDigest limit = new LimitDigest(new RateDigest(3, 33, 1, 9), new LimitWord(2.2, 40, 700));
+    LimitDigest limit =
+        new LimitDigest(new RateDigest(3, 33, 1, 9), new AnnouncedLimitDigest(2.2, 40, 700));
     RecentPace pace = RecentPace.of(130, 24);
     engines.replaceAll((id, digest) -> digest.withLeaving(2).withLimit(limit).withPace(pace));
     LoadDigest load = message.load();
