--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
@@ -20,10 +20,10 @@
 /**
  * Polls model engines for the prompt parts in their caches, since the estimate that this node keeps
  * drifts from the actual contents. One node polls an engine every few seconds and publishes the
- * answer to the others. A node that has just started asks the others for all lists that they have,
- * and polls the engines of which none of them sent a list. An answer delays the engine's work for a
- * moment, so few engines are polled at once. Only the dispatch thread calls, except for {@link
- * #answered}; answers return to that thread as events.
+ * answer to the others. A node that has just started pollsEngine the others for all lists that they
+ * have, and polls the engines of which none of them sent a list. An answer delays the engine's work
+ * for a moment, so few engines are polled at once. Only the dispatch thread calls, except for
+ * {@link #answered}; answers return to that thread as events.
  */
 final class CacheSurvey {
 
@@ -46,7 +46,7 @@
 
   private final CacheLister lister;
   private final Consumer<DispatchEvent> events;
-  private final Predicate<String> asks;
+  private final Predicate<String> pollsEngine;
   private final boolean firstStart;
   private final Map<String, Surveyed> engines = new HashMap<>();
   private int pendingPolls;
@@ -84,18 +84,18 @@
    *
    * @param lister sends the calls to engines
    * @param events receives a {@link DispatchEvent.CacheListed} for each answer
-   * @param asks whether this node is the one that polls the engine with the given id
+   * @param pollsEngine whether this node is the one that polls the engine with the given id
    * @param firstStart whether the whole system starts for the first time, so that all caches are
    *     empty
    */
   CacheSurvey(
       CacheLister lister,
       Consumer<DispatchEvent> events,
-      Predicate<String> asks,
+      Predicate<String> pollsEngine,
       boolean firstStart) {
     this.lister = lister;
     this.events = events;
-    this.asks = asks;
+    this.pollsEngine = pollsEngine;
     this.firstStart = firstStart;
   }
 
@@ -191,7 +191,7 @@
       return true;
     }
     boolean perhapsDue = !surveyed.known || since >= INTERVAL_NANOS;
-    return perhapsDue && asks.test(surveyed.engine.id());
+    return perhapsDue && pollsEngine.test(surveyed.engine.id());
   }
 
   private void poll(Surveyed surveyed, long nowNanos) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHandler.java
@@ -80,8 +80,8 @@
    */
   private static void pauseHeadTimeout(Request request) {
     if (request.getConnectionMetaData().getConnection().getEndPoint()
-        instanceof WatchedEndPoint caller) {
-      Runnable end = caller.beginServing();
+        instanceof WatchedEndPoint endPoint) {
+      Runnable end = endPoint.beginServing();
       Request.addCompletionListener(request, failure -> end.run());
     }
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -145,8 +145,8 @@
       dispatcher.stages().onUnanswered(unanswered.change(), now);
     } else if (event instanceof DispatchEvent.EngineGone gone) {
       keeper.onEngineGone(gone.engineId(), now);
-    } else if (event instanceof DispatchEvent.QuarantineLoaded recalled) {
-      dispatcher.quarantine().onLoadedFromStore(recalled.held(), now);
+    } else if (event instanceof DispatchEvent.QuarantineLoaded loaded) {
+      dispatcher.quarantine().onLoadedFromStore(loaded.held(), now);
     } else if (event instanceof DispatchEvent.QuarantineStored stored) {
       dispatcher.quarantine().onStored(stored.content(), now);
     } else if (event instanceof DispatchEvent.ParametersChanged changed) {
@@ -157,9 +157,9 @@
       scaling.onInitialCounts(known.service(), known.byZone());
     } else if (event instanceof DispatchEvent.ScaleOrderAnswered answered) {
       scaling.onAnswer(answered.order(), answered.outcome(), now);
-    } else if (event instanceof DispatchEvent.PeerMessageReceived heard) {
-      heard.message().usage().ifPresent(runs::onPeerReport);
-      peers.onHeard(heard.message(), now);
+    } else if (event instanceof DispatchEvent.PeerMessageReceived received) {
+      received.message().usage().ifPresent(runs::onPeerReport);
+      peers.onHeard(received.message(), now);
       startDelayed(now);
     }
   }
@@ -175,12 +175,12 @@
    * unreachable.
    */
   private void applyLeaving(long now) {
-    List<LeavingNotice> found = dispatcher.takeLeaving(now);
-    if (!found.isEmpty()) {
-      found.forEach(log::engineLeaves);
+    List<LeavingNotice> leaving = dispatcher.takeLeaving(now);
+    if (!leaving.isEmpty()) {
+      leaving.forEach(log::engineLeaves);
       scaling.setDirectory(dispatcher.directory());
     }
-    if (found.stream().anyMatch(notice -> notice.source() == NoticeSource.ANSWER)) {
+    if (leaving.stream().anyMatch(notice -> notice.source() == NoticeSource.ANSWER)) {
       peers.tellNow(now);
     }
   }
@@ -410,7 +410,7 @@
     }
     startDelayed(now);
     resumeWaiting(now);
-    takeSignsOfLife(now);
+    reportSignsOfLife(now);
     peers.onTick(now);
     runs.onTick(now);
     if (now - lastHealthNanos >= HEALTH_NANOS) {
@@ -442,7 +442,7 @@
     terminator.onLateEvent(event);
   }
 
-  private void takeSignsOfLife(long now) {
+  private void reportSignsOfLife(long now) {
     for (Exchange exchange : active) {
       if (exchange.attempt().filter(EngineAttempt::takeSignOfLife).isPresent()) {
         dispatcher.onSignOfLife(exchange.progress(), now);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayPlatform.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayPlatform.java
@@ -15,22 +15,22 @@
 import org.fallturn.core.usage.UsageStore;
 
 /**
- * Everything that a gateway takes from the platform it runs on.
+ * Adapters to the platform that a gateway runs on.
  *
- * @param callers what callers speak
- * @param engines what engines speak
- * @param routingFeed the table that holds the operator's configuration
- * @param isRouting which of its rows is the configuration
- * @param routingDecoder reads that row
- * @param engineFeed the table in which engines keep themselves
- * @param engineDecoder reads one of its rows
- * @param orderLease the row that says who may give orders to engines
- * @param quarantine the contents in quarantine that outlast every process
- * @param usage the counts of requests that the fleet has agreed to report
- * @param usageApi where they are reported
- * @param standing how many engines services had before any was ordered
- * @param scaleApi where engines are ordered
- * @param readinessPath path at which the platform asks for readiness
+ * @param callers header format of callers
+ * @param engines protocol of engines
+ * @param routingFeed table that holds the operator's configuration
+ * @param isRouting whether a row of that table is the configuration
+ * @param routingDecoder decodes that row
+ * @param engineFeed table in which engines register themselves
+ * @param engineDecoder decodes a row of that table
+ * @param orderLease lease on the right to give orders to engines
+ * @param quarantine persistent store of the request contents in quarantine
+ * @param usage store of the request counts that the fleet has agreed to report
+ * @param usageApi API to which usage is reported
+ * @param initialCounts store of the number of engines that services had before any was ordered
+ * @param scaleApi API that orders engines
+ * @param readinessPath path at which the platform probes readiness
  */
 public record GatewayPlatform(
     CallerProtocol callers,
@@ -44,35 +44,40 @@
     ClientFactory<QuarantineStore> quarantine,
     ClientFactory<UsageStore> usage,
     ApiFactory<UsageApi> usageApi,
-    ClientFactory<InitialCountsStore> standing,
+    ClientFactory<InitialCountsStore> initialCounts,
     ApiFactory<ScaleApi> scaleApi,
     String readinessPath) {
 
   /**
-   * Makes a way to the store, or to a part of it; the process has one HTTP client, since each costs
-   * its start.
+   * Creates a client of the store, or of a part of it, on top of a shared HTTP client. The process
+   * has only one HTTP client, since starting each takes time.
    *
-   * @param <T> what is spoken there
+   * @param <T> type of the client
    */
   @FunctionalInterface
   public interface ClientFactory<T> {
 
-    /** A way that calls by a client that has been started. */
+    /**
+     * Creates the client.
+     *
+     * @param client HTTP client to call with, already started
+     */
     T create(HttpClient client);
   }
 
   /**
-   * Makes a way to the platform's API.
+   * Creates a client of an API of the platform.
    *
-   * @param <T> what is spoken there
+   * @param <T> type of the client
    */
   @FunctionalInterface
   public interface ApiFactory<T> {
 
     /**
-     * A way that calls by a client that has been started.
+     * Creates the client.
      *
-     * @param address where the API listens
+     * @param client HTTP client to call with, already started
+     * @param address address that the API listens at
      */
     T create(HttpClient client, NetworkAddress address);
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -40,8 +40,8 @@
 import org.fallturn.node.settings.GatewaySettings;
 
 /**
- * Wires a gateway process: the doors, the dispatch duty, the followers of the store. One thread
- * starts and stops it.
+ * Gateway process: creates, starts and stops the listening ports, the duties and the followers of
+ * the store's tables. One thread starts and stops it.
  */
 public final class GatewayServer implements AutoCloseable {
 
@@ -50,19 +50,22 @@
   private static final int RING_SIZE = 4_096;
 
   /**
-   * How often deadlines and patience are checked. At 10 ms the ticks took most of the dispatch
-   * thread's time on a node of 95 (docs/experiments/large.md).
+   * How often deadlines and the waits for engines are checked. With a tick of 10 ms in a fleet of
+   * 95 nodes the checks took most of the dispatch thread's time (docs/experiments/large.md).
    */
   private static final Duration TICK = Duration.ofMillis(25);
 
-  /** An engine that begins to leave is known within this part of the time that it still takes. */
-  private static final int GATHER_PARTS = 4;
+  /**
+   * Changes of engine rows are gathered for at most the drain time divided by this, so that an
+   * engine that starts to leave is known early in its drain.
+   */
+  private static final int GATHERS_PER_DRAIN = 4;
 
   private static final long RING_FULL_PAUSE_NANOS = 100_000;
   private static final long MAX_BODY_BYTES_IN_FLIGHT = 48L << 20;
   private static final int OUTPUT_BUFFER_BYTES = 8 * 1024;
 
-  private static final Duration LONGEST_WAIT_TO_ACCEPT = Duration.ofMillis(300);
+  private static final Duration MAX_WAIT_TO_ACCEPT = Duration.ofMillis(300);
 
   private static final String ROUTING = "routing";
   private static final String ENGINES = "engines";
@@ -104,18 +107,20 @@
   private volatile EngineDirectory directory = EngineDirectory.empty();
 
   /**
-   * A gateway that serves nothing yet; callers may already connect and wait to be accepted. A duty
-   * that cannot go on ends the serving, not the process.
+   * Creates a gateway that is not started; callers may already connect and wait to be accepted.
+   * When a duty fails for good, the gateway stops serving but the process goes on.
    */
   public GatewayServer(GatewaySettings settings, GatewayPlatform platform) throws Exception {
     this(settings, platform, CallerSocket.bind(settings.callers()), code -> {});
   }
 
   /**
-   * A gateway that serves nothing yet.
+   * Creates a gateway that is not started.
    *
-   * @param callerSocket the bound socket of {@link CallerSocket}; the gateway closes it
-   * @param processEnd called at last when a duty cannot go on
+   * @param settings settings of the node
+   * @param platform adapters to the platform
+   * @param callerSocket socket bound by {@link CallerSocket}; the gateway closes it
+   * @param processEnd called last when a duty fails for good
    */
   public GatewayServer(
       GatewaySettings settings,
@@ -136,9 +141,9 @@
     this.notices = dispatcher.notices();
     this.engines = new EngineClient(platform.engines(), notices, log, threads);
     this.peerPorts = PeerPorts.bind(settings.peers());
-    this.peers = new PeerExchange(peerPorts.datagrams(), this::tell);
+    this.peers = new PeerExchange(peerPorts.datagrams(), this::post);
     DutyContext duties =
-        new DutyContext(newOrderLease(parameters), settings.nodeName(), this::tell, log);
+        new DutyContext(newOrderLease(parameters), settings.nodeName(), this::post, log);
     this.stages = new StageDuty(duties, new EngineOrders(engines));
     this.overlay =
         new RelayOverlay(
@@ -151,14 +156,14 @@
     this.survey =
         new CacheSurvey(
             engines,
-            this::tell,
+            this::post,
             engine -> overlay.pollsEngine(engine, System.nanoTime()),
             settings.firstStart());
     PeerTalk talk = new PeerTalk(overlay, dispatcher, survey, peers::send);
     this.quarantine =
-        new QuarantineDuty(platform.quarantine().create(engines.client()), this::tell, log);
+        new QuarantineDuty(platform.quarantine().create(engines.client()), this::post, log);
     this.keeper =
-        new QuarantineKeeper(dispatcher, new EngineProbe(engines, this::tell), quarantine, log);
+        new QuarantineKeeper(dispatcher, new EngineProbe(engines, this::post), quarantine, log);
     this.scaling = settings.duties().api().map(address -> newScaleDuty(duties, address));
     this.usage = settings.duties().usage().map(windows -> newUsageDuty(duties));
     DispatchDuty duty =
@@ -186,7 +191,7 @@
             ENGINES,
             platform.engineFeed(),
             this::onEngineRows,
-            settings.bounds().drain().dividedBy(GATHER_PARTS));
+            settings.bounds().drain().dividedBy(GATHERS_PER_DRAIN));
   }
 
   private OrderLease newOrderLease(DispatchParameters parameters) {
@@ -207,19 +212,22 @@
   private ScaleDuty newScaleDuty(DutyContext duties, NetworkAddress api) {
     return new ScaleDuty(
         duties,
-        platform.standing().create(engines.client()),
+        platform.initialCounts().create(engines.client()),
         platform.scaleApi().create(engines.client(), api));
   }
 
   private Scaling newScaling() {
     return new Scaling(
         new ScaleControl(settings.scaleParameters()),
-        this::engineListIsNew,
+        this::engineListIsFresh,
         wish -> scaling.ifPresent(duty -> duty.offer(wish)));
   }
 
-  /** No engine is ordered on a view that may be older than the time to be in touch again. */
-  private boolean engineListIsNew() {
+  /**
+   * Whether the list of engines was confirmed within the contact bound. No engine is ordered based
+   * on an older list.
+   */
+  private boolean engineListIsFresh() {
     return engineFollower.unconfirmedNanos(System.nanoTime())
         < settings.bounds().contact().toNanos();
   }
@@ -240,7 +248,7 @@
       String table,
       GatewayPlatform.ClientFactory<RowFeed> feed,
       Consumer<FeedTracker> onRows,
-      Duration longestGather) {
+      Duration maxGather) {
     Duration change = settings.bounds().drain();
     NewsBell bell = new NewsBell();
     bells.add(bell);
@@ -252,7 +260,7 @@
         log,
         followCounts,
         new RowFollower.Times(
-            longestGather, FollowBounds.of(change, settings.bounds().contact()), bell));
+            maxGather, FollowBounds.of(change, settings.bounds().contact()), bell));
   }
 
   private WatchedConnector newCallersConnector(ServerSocketChannel socket) throws IOException {
@@ -264,11 +272,11 @@
     connector.setHost(settings.callers().host());
     connector.open(socket);
     applyLimits(connector, RequestLimits.defaults());
-    server.setHandler(new CallerRequestHandler(state, this::tell, log));
+    server.setHandler(new CallerRequestHandler(state, this::post, log));
     return connector;
   }
 
-  /** Holds for connections that are opened from now on. */
+  /** Applies the limits to connections that are opened from now on. */
   private void applyLimits(WatchedConnector connector, RequestLimits limits) {
     http.setRequestHeaderSize(limits.maxHeaderBytes());
     connector.setIdleTimeout(limits.idleTimeout().toMillis());
@@ -276,9 +284,10 @@
   }
 
   /**
-   * Starts everything. Callers are accepted once routes and engines are known; when they do not
-   * become known soon, since the store does not answer, callers are accepted and told so. Callers
-   * come first: every port takes processor time that those who wait would wait for.
+   * Starts everything. Callers are accepted when routes and engines are known. If the store does
+   * not answer for a short time, callers are accepted anyway and their requests are refused with
+   * that reason. The callers' port opens before the other ports: opening each takes processor time
+   * while callers wait.
    */
   public void start() throws Exception {
     overlay.tables().setOnNewerVersion(() -> bells.forEach(NewsBell::ring));
@@ -290,7 +299,7 @@
     routingFollower.start(faults);
     engineFollower.start(faults);
     server.start();
-    state.awaitReady(LONGEST_WAIT_TO_ACCEPT);
+    state.awaitReady(MAX_WAIT_TO_ACCEPT);
     server.addConnector(callers);
     callers.start();
     readiness = ReadinessPort.open(settings.readiness(), platform.readinessPath(), state);
@@ -327,7 +336,7 @@
     }
   }
 
-  /** A gateway whose figures cannot be served still serves its callers. */
+  /** Opens the metrics port; logs a failure, since the gateway can serve callers without it. */
   private void openMetrics(NetworkAddress address) {
     try {
       metricsListener = MetricsPort.open(address, metrics);
@@ -336,77 +345,83 @@
     }
   }
 
-  /** Whether routes and engines are known and no stop has begun. */
+  /** Whether routes and engines are known and no stop has started. */
   public boolean ready() {
     return state.ready();
   }
 
-  /** Version of the routes in force; 0 before any is known. */
+  /** Version of the routes in force; 0 while none are known. */
   public long routingVersion() {
     RoutingImage image = state.routing();
     return image == null ? 0 : image.version();
   }
 
-  /** Gateways that this one knows of, itself included. */
+  /** Number of gateways that this one knows of, itself included. */
   public int nodeCount() {
     return overlay.nodeCount();
   }
 
-  /** Engines that are listed. */
+  /** Number of listed engines. */
   public int engineCount() {
     return directory.all().size();
   }
 
-  /** Listed engines that take nothing new, by their entries or by what they have said. */
+  /**
+   * Number of listed engines that take no new requests, according to their entries or to notices in
+   * their answers.
+   */
   public long leavingCount() {
     EngineDirectory known = directory.withLeaving(notices::leaves);
     return known.all().stream().filter(ServingEngine::leaving).count();
   }
 
-  /** Listed engines that want nothing from this node now. */
+  /** Number of listed engines that have asked this node to send nothing for now. */
   public long restingCount() {
     long now = System.nanoTime();
     return directory.all().stream().filter(engine -> notices.rests(engine.id(), now)).count();
   }
 
-  /** Listed engines that take only so many requests a second from all nodes together. */
+  /**
+   * Number of listed engines that limit the requests a second that they take from all nodes
+   * together.
+   */
   public long limitedCount() {
     return directory.all().stream().filter(engine -> notices.limits().limited(engine.id())).count();
   }
 
-  /** Engines that have said which prompt parts they keep. */
+  /** Number of engines whose list of cached prompt parts is known. */
   public int cachesKnown() {
     return survey.answered();
   }
 
-  /** Stage changes that were given up before their order was sent. */
+  /** Number of stage changes that were abandoned before their order was sent. */
   public int stageChangesAbandoned() {
     return stages.abandoned();
   }
 
-  /** Where other nodes tell their load and ask for tables. */
+  /** Address at which other nodes send messages and request tables. */
   public NetworkAddress peersAddress() {
     return peers.address();
   }
 
-  /** Whether new requests are taken; not in the second part of a planned stop. */
+  /** Whether new requests are accepted; false in the second phase of a planned stop. */
   public boolean takesRequests() {
     return state.takesRequests();
   }
 
-  /** Requests being served. */
+  /** Number of requests in flight. */
   public int inFlight() {
     return state.inFlight();
   }
 
-  /** Where callers connect, with the real port. */
+  /** Address at which callers connect, with the actual port. */
   public NetworkAddress callersAddress() {
     return new NetworkAddress(callers.getHost(), callers.getLocalPort());
   }
 
   /**
-   * Reads a settings file again on SIGHUP and when it changes. Log level, bounds and dispatch
-   * constants take effect; names and addresses need a restart.
+   * Reloads a settings file on SIGHUP and when it changes. Log level, bounds and dispatch constants
+   * take effect; names and addresses need a restart.
    */
   public void watchSettings(Path file) {
     settingsWatch = new SettingsWatch(file, this::onSettings, log);
@@ -415,11 +430,11 @@
 
   private void onSettings(GatewaySettings changed) {
     LogSetup.setLevel(changed.log().level());
-    tell(new DispatchEvent.ParametersChanged(changed.dispatchParameters()));
+    post(new DispatchEvent.ParametersChanged(changed.dispatchParameters()));
   }
 
-  /** Events are never dropped: a full ring holds its producers up. */
-  private void tell(DispatchEvent event) {
+  /** Posts an event to the dispatch duty. Blocks while its ring is full: no event is dropped. */
+  private void post(DispatchEvent event) {
     while (!dispatch.offer(event)) {
       LockSupport.parkNanos(RING_FULL_PAUSE_NANOS);
     }
@@ -483,7 +498,7 @@
     }
     if (state.offerRouting(image)) {
       applyLimits(callers, image.limits());
-      tell(new DispatchEvent.RoutingChanged(image));
+      post(new DispatchEvent.RoutingChanged(image));
       log.routingChanged(image);
     }
   }
@@ -492,25 +507,25 @@
     snapshots.keep(ENGINES, tracker);
     overlay.tables().onSeen(ENGINES, tracker.newestChange());
     directory = EngineDirectory.of(tracker.position(), engineRows.read(tracker.rows()));
-    tell(new DispatchEvent.DirectoryChanged(directory));
+    post(new DispatchEvent.DirectoryChanged(directory));
     state.setEnginesKnown();
     log.enginesChanged(directory);
   }
 
   /**
-   * A planned stop: no longer ready, answers ask callers to leave; after the linger new requests
-   * are refused as not run, and the process may end once every request has ended, or when the grace
-   * is nearly over.
+   * Performs a planned stop. The node is no longer ready, and its answers ask callers to close
+   * their connections. After the linger, new requests are refused as not run. Returns when every
+   * request has ended, or when the grace period is nearly over.
    */
   public void stopAsPlanned() throws InterruptedException {
-    long begun = System.nanoTime();
+    long started = System.nanoTime();
     state.beginStop();
     closeDuties();
     log.stopping(state.inFlight());
-    long lingerUntil = begun + settings.bounds().stopLinger().toNanos();
-    long endBy = begun + settings.stopWithin().toNanos();
-    while (System.nanoTime() - endBy < 0) {
-      if (System.nanoTime() - lingerUntil >= 0) {
+    long lingerEnd = started + settings.bounds().stopLinger().toNanos();
+    long stopDeadline = started + settings.stopWithin().toNanos();
+    while (System.nanoTime() - stopDeadline < 0) {
+      if (System.nanoTime() - lingerEnd >= 0) {
         refuseNewRequests();
         if (state.inFlight() == 0) {
           break;
@@ -521,7 +536,7 @@
     log.stopped(state.inFlight());
   }
 
-  /** What is left to do where a duty cannot go on. */
+  /** Stop that follows when a duty fails for good. */
   private final class EndWork implements NodeEnd.Work {
 
     @Override
@@ -530,27 +545,30 @@
       closeDuties();
     }
 
-    /** The platform sees that the node is not ready, and answers that were begun come to an end. */
+    /**
+     * Waits until the platform has seen that the node is not ready and running answers have ended,
+     * at most for the grace period.
+     */
     @Override
     public void awaitAnswers() throws InterruptedException {
-      long begun = System.nanoTime();
-      long lingerUntil = begun + settings.bounds().stopLinger().toNanos();
-      long endBy = begun + settings.stopWithin().toNanos();
-      while (System.nanoTime() - endBy < 0
-          && (state.inFlight() > 0 || System.nanoTime() - lingerUntil < 0)) {
+      long started = System.nanoTime();
+      long lingerEnd = started + settings.bounds().stopLinger().toNanos();
+      long stopDeadline = started + settings.stopWithin().toNanos();
+      while (System.nanoTime() - stopDeadline < 0
+          && (state.inFlight() > 0 || System.nanoTime() - lingerEnd < 0)) {
         TimeUnit.MILLISECONDS.sleep(STOP_CHECK_MILLIS);
       }
     }
   }
 
-  /** From now on this node orders and reports nothing for all. */
+  /** Closes the duties that give orders and report usage on behalf of the fleet. */
   private void closeDuties() {
     stages.close();
     usage.ifPresent(UsageDuty::close);
     scaling.ifPresent(ScaleDuty::close);
   }
 
-  /** New connections are not accepted; a request on a kept one is refused as not run. */
+  /** Stops accepting connections; requests on open connections are refused as not run. */
   private void refuseNewRequests() {
     if (state.takesRequests()) {
       state.refuseRequests();
@@ -558,7 +576,7 @@
     }
   }
 
-  /** Ends everything at once; requests in flight are cut. For use inside one process. */
+  /** Closes everything at once and cuts requests in flight; for gateways within one process. */
   @Override
   public void close() throws Exception {
     if (settingsWatch != null) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayState.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayState.java
@@ -10,8 +10,8 @@
 import org.fallturn.core.routing.RoutingImage;
 
 /**
- * What all threads of a gateway share: the routes in force, how much is in flight, and whether it
- * is stopping. Thread-safe.
+ * State shared by all threads of a gateway: the routes in force, the requests in flight, and
+ * whether the node is ready or stopping. Thread-safe.
  */
 final class GatewayState {
 
@@ -22,7 +22,7 @@
   private final AtomicReference<RoutingImage> routing = new AtomicReference<>();
   private final AtomicInteger inFlight = new AtomicInteger();
   private final AtomicLong bodyBytes = new AtomicLong();
-  private final CountDownLatch known = new CountDownLatch(1);
+  private final CountDownLatch readyLatch = new CountDownLatch(1);
   private volatile boolean stopping;
   private volatile boolean takesRequests = true;
   private volatile boolean enginesKnown;
@@ -39,25 +39,26 @@
     return callerProtocol;
   }
 
-  /** The routes in force; null before any is known. */
+  /** The routes in force; null while none are known. */
   RoutingImage routing() {
     return routing.get();
   }
 
-  /** Takes whoever follows the routes. */
+  /** Sets the follower of the configuration table. */
   void setRouting(RowFollower follower) {
     routingFollower = follower;
   }
 
-  /** Whether other nodes know newer routes and keys than those in force here. */
+  /** Whether other nodes know newer routes and keys than those in force on this node. */
   boolean routingIsBehind() {
     RowFollower follower = routingFollower;
     return follower != null && follower.knowsOfNewer();
   }
 
   /**
-   * Whether keys are to be believed: where they fail closed, not when it is too long ago that
-   * nothing newer was known to be there, since a key may have been taken away since.
+   * Whether tenant keys may be accepted. With a key lifetime set, keys fail closed: they are not
+   * accepted when the configuration was last confirmed as the newest longer ago than that, since a
+   * key may have been revoked in the meantime.
    */
   boolean keysAreTrusted(long nowNanos) {
     RowFollower follower = routingFollower;
@@ -66,32 +67,32 @@
         || follower.unconfirmedNanos(nowNanos) < keyLifetime.get().toNanos();
   }
 
-  /** Takes an image if it is newer than the one in force. */
+  /** Puts an image in force if it is newer than the current one; returns whether it was. */
   boolean offerRouting(RoutingImage image) {
     RoutingImage before =
         routing.getAndUpdate(
-            present -> present == null || image.isNewerThan(present) ? image : present);
-    openWhenKnown();
+            current -> current == null || image.isNewerThan(current) ? image : current);
+    countDownWhenReady();
     return before == null || image.isNewerThan(before);
   }
 
   void setEnginesKnown() {
     enginesKnown = true;
-    openWhenKnown();
+    countDownWhenReady();
   }
 
-  private void openWhenKnown() {
+  private void countDownWhenReady() {
     if (enginesKnown && routing.get() != null) {
-      known.countDown();
+      readyLatch.countDown();
     }
   }
 
-  /** Waits until routes and engines are known, or as long as said. */
-  void awaitReady(Duration longest) throws InterruptedException {
-    known.await(longest.toMillis(), TimeUnit.MILLISECONDS);
+  /** Waits until routes and engines are known, at most for the timeout. */
+  void awaitReady(Duration timeout) throws InterruptedException {
+    readyLatch.await(timeout.toMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Whether the store did not answer when it was last asked. */
+  /** Whether the store failed to answer the last call to it. */
   boolean storeLost() {
     return storeLost;
   }
@@ -100,7 +101,7 @@
     storeLost = lost;
   }
 
-  /** Whether callers should be sent here. */
+  /** Whether the platform should send callers to this node. */
   boolean ready() {
     return !stopping && enginesKnown && routing.get() != null;
   }
@@ -109,12 +110,12 @@
     return stopping;
   }
 
-  /** Whether new requests are still taken. */
+  /** Whether new requests are still accepted. */
   boolean takesRequests() {
     return takesRequests;
   }
 
-  /** From now on new requests are refused as not run. */
+  /** Refuses new requests from now on, as not run. */
   void refuseRequests() {
     takesRequests = false;
   }
@@ -123,7 +124,12 @@
     stopping = true;
   }
 
-  /** Counts a request in; false when the bodies in flight already fill their bound. */
+  /**
+   * Counts a request as in flight; false when its body would exceed the bound on the bytes of all
+   * bodies in flight.
+   *
+   * @param length bytes of the body
+   */
   boolean tryBegin(int length) {
     if (bodyBytes.addAndGet(length) > maxBodyBytesInFlight) {
       bodyBytes.addAndGet(-length);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/LatencyHistogram.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/LatencyHistogram.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.atomic.AtomicLongArray;
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts durations by upper bounds that double from 1 ms to about 16 s. Thread-safe. */
+/** Histogram of durations with bucket bounds that double from 1 ms to about 16 s. Thread-safe. */
 final class LatencyHistogram {
 
   private static final int BOUNDS = 15;
@@ -26,7 +26,7 @@
     return 1L << bucket;
   }
 
-  /** Appends it as a Prometheus histogram in ms. */
+  /** Appends the histogram in Prometheus text format, in ms. */
   void write(String name, StringBuilder text) {
     text.append("# TYPE ").append(name).append(" histogram\n");
     long total = 0;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
@@ -63,8 +63,9 @@
   }
 
   /**
-   * Takes a permit from the engine's rate limit. Limits count requests when they are sent, not when
-   * they are decided: other requests may have used up the limit in between.
+   * Whether a caller's request may be sent now; if so, takes a permit from the engine's rate limit.
+   * Limits count requests when they are sent, not when they are decided: other requests may have
+   * used up the limit in between.
    */
   private boolean tryTakeRequest(ServingEngine engine, long now) {
     return notices.takesRequests(engine.id(), now) && notices.limits().tryTake(engine.id(), now);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/OrderedWriter.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/OrderedWriter.java
@@ -6,10 +6,10 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes the parts of one answer one after another: a part that comes while the caller still takes
- * the one before waits for it. Two engines may give parts of one answer in turn, and the second may
- * be quicker than the caller. Thread-safe; each callback is completed once its part was written or
- * could not be.
+ * Queue that writes the parts of one answer in order: a part waits while the previous one is still
+ * being written. It is needed when a second engine continues the answer of a first one, since its
+ * parts may arrive faster than the caller reads. Thread-safe; each callback is completed when its
+ * part was written, or failed when it could not be.
  */
 final class OrderedWriter {
 
@@ -19,10 +19,10 @@
 
   private record Part(boolean last, ByteBuffer bytes, Callback callback) {}
 
-  /** Takes one part at a time; completes its callback once it was written or could not be. */
+  /** Writes one part at a time, and completes or fails its callback. */
   interface Sink {
 
-    /** Begins to write. */
+    /** Starts to write a part; called only when the callback of the previous one has ended. */
     void write(boolean last, ByteBuffer bytes, Callback callback);
   }
 
@@ -30,7 +30,13 @@
     this.sink = sink;
   }
 
-  /** Writes a part after all parts given before. */
+  /**
+   * Writes a part after all earlier parts.
+   *
+   * @param last whether the answer ends with this part
+   * @param bytes the part
+   * @param callback completed when the part was written, failed when it could not be
+   */
   void write(boolean last, ByteBuffer bytes, Callback callback) {
     Part part = new Part(last, bytes, callback);
     synchronized (waiting) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
@@ -3,10 +3,13 @@
 import org.fallturn.core.dispatch.AttemptOutcome;
 import org.fallturn.core.usage.UsageNews;
 
-/** Hears of requests that begin to run, each of which counts once. On the dispatch thread. */
+/**
+ * Observer that counts requests which start to run, each once, for usage reports. Called on the
+ * dispatch thread.
+ */
 interface RunCounter {
 
-  /** Counts nothing, where nobody asks for it. */
+  /** Counts nothing; for nodes that report no usage. */
   RunCounter NONE =
       new RunCounter() {
         @Override
@@ -31,16 +34,16 @@
   /** The answer of a request has begun. */
   void onBegan(Exchange exchange);
 
-  /** An attempt ended without a whole, good answer. */
+  /** An attempt ended without a complete, good answer. */
   void onFailed(Exchange exchange, AttemptOutcome outcome, long nowNanos);
 
-  /** A request is over: it was answered whole, or its caller left, or its time is over. */
+  /** A request ended: the answer is complete, the caller disconnected, or the deadline passed. */
   void onEnded(Exchange exchange, long nowNanos);
 
-  /** Another process told what it has counted. */
+  /** Another process sent its counts. */
   void onPeerReport(UsageNews news);
 
-  /** The report of a window was taken, by this node or another. */
+  /** The platform accepted the report of a window, sent by this node or another. */
   void onReported(long window);
 
   /** Called several times a second. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/WatchedConnector.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/WatchedConnector.java
@@ -15,15 +15,16 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Accepts callers' connections so that each can be watched for its end, and ends those on which the
- * head of a request takes too long: they are told that it was not run.
+ * Server connector whose connections can be watched for a disconnect while a request is served. It
+ * also closes connections on which the head of a request takes too long to arrive, after a 408
+ * answer, which says that the request was not run.
  */
 final class WatchedConnector extends ServerConnector {
 
   static final long CHECK_MILLIS = 250;
 
-  /** After a longer pause between two checks this process stood still, not its callers. */
-  private static final long STOOD_STILL_NANOS = TimeUnit.MILLISECONDS.toNanos(2 * CHECK_MILLIS);
+  /** A longer pause between two checks means that this process was stalled, not its callers. */
+  private static final long STALL_NANOS = TimeUnit.MILLISECONDS.toNanos(2 * CHECK_MILLIS);
 
   private static final byte[] HEAD_TOO_SLOW =
       "HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -36,7 +37,7 @@
     super(server, 0, 1, http);
   }
 
-  /** How long the head of a request may take from its first byte. */
+  /** Sets how long the head of a request may take, counted from its first byte. */
   void setHeadTimeout(Duration timeout) {
     headTimeoutNanos = timeout.toNanos();
   }
@@ -57,25 +58,25 @@
       return;
     }
     long now = System.nanoTime();
-    boolean stoodStill = now - lastCheckNanos > STOOD_STILL_NANOS;
+    boolean stalled = now - lastCheckNanos > STALL_NANOS;
     lastCheckNanos = now;
     for (EndPoint endPoint : getConnectedEndPoints()) {
       if (endPoint instanceof WatchedEndPoint watched) {
-        check(watched, stoodStill);
+        check(watched, stalled);
       }
     }
     scheduleCheck();
   }
 
-  private void check(WatchedEndPoint caller, boolean stoodStill) {
-    if (stoodStill) {
-      caller.restartHead();
-    } else if (caller.checkHead(headTimeoutNanos, checksWithin(headTimeoutNanos))) {
+  private void check(WatchedEndPoint caller, boolean stalled) {
+    if (stalled) {
+      caller.restartHeadTimer();
+    } else if (caller.checkHeadTimeout(headTimeoutNanos, checksWithin(headTimeoutNanos))) {
       caller.write(Callback.from(caller::close), ByteBuffer.wrap(HEAD_TOO_SLOW));
     }
   }
 
-  /** So many checks come in a time, rounded up, unless this process stands still. */
+  /** Number of checks, rounded up, that run in a time unless this process is stalled. */
   private static long checksWithin(long nanos) {
     long interval = TimeUnit.MILLISECONDS.toNanos(CHECK_MILLIS);
     return nanos / interval + (nanos % interval == 0 ? 0 : 1);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/WatchedEndPoint.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/WatchedEndPoint.java
@@ -12,19 +12,20 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A caller's connection that can be watched for its end while a request is served. HTTP/1.1 reads
- * nothing between the end of a request and its answer, so a caller that leaves would go unnoticed;
- * while watching, the connection is read into a side buffer that the next request is read from. It
- * also knows since when the head of a request has been coming in. Thread-safe.
+ * Connection of a caller that can be watched for a disconnect while a request is served. The
+ * HTTP/1.1 server reads nothing between the end of a request and its answer, so a disconnect would
+ * go unnoticed. While watched, the connection is read into a side buffer, from which the next
+ * request is read first. The class also measures how long the head of a request has been arriving.
+ * Thread-safe.
  */
 final class WatchedEndPoint extends SocketChannelEndPoint {
 
   private static final int SIDE_BUFFER_BYTES = 2_048;
 
   private final Object lock = new Object();
-  private ByteBuffer side = BufferUtil.EMPTY_BUFFER;
+  private ByteBuffer sideBuffer = BufferUtil.EMPTY_BUFFER;
   private boolean endOfInput;
-  private Runnable onGone;
+  private Runnable onDisconnect;
   private long servedRequest;
   private boolean serving;
   private long headSinceNanos;
@@ -35,21 +36,23 @@
     super(channel, selector, key, scheduler);
   }
 
-  /** Begins to watch; the listener is called at most once, on any thread. */
+  /** Starts watching for a disconnect; the listener is called at most once, on any thread. */
   void watch(Runnable listener) {
     synchronized (lock) {
-      onGone = listener;
+      onDisconnect = listener;
     }
     register();
   }
 
-  /** Ends watching, before the request is completed; the listener is not called after this. */
+  /**
+   * Stops watching; call before the request is completed. The listener is not called after this.
+   */
   void unwatch() {
     synchronized (lock) {
-      if (onGone == null) {
+      if (onDisconnect == null) {
         return;
       }
-      onGone = null;
+      onDisconnect = null;
     }
     getFillInterest().fillable();
   }
@@ -65,8 +68,8 @@
 
   private int fillFromEither(ByteBuffer buffer) throws IOException {
     synchronized (lock) {
-      if (side.hasRemaining()) {
-        return BufferUtil.append(buffer, side);
+      if (sideBuffer.hasRemaining()) {
+        return BufferUtil.append(buffer, sideBuffer);
       }
       if (endOfInput) {
         return -1;
@@ -85,11 +88,11 @@
   }
 
   /**
-   * The head of a request has been read; what comes now is its body.
+   * Records that the head of a request has been read, so that the bytes that follow are its body.
    *
-   * @return what says that the request was answered, so that what comes then is the head of the
-   *     next; nothing where the next is being served already, since the server may have read it
-   *     before it tells of the end of this one
+   * @return action to run when the request is completed: later bytes then belong to the head of the
+   *     next request. It does nothing when the next request is being served already, since the
+   *     server may have read it before it reports the end of this one
    */
   Runnable beginServing() {
     synchronized (lock) {
@@ -106,8 +109,8 @@
     }
   }
 
-  /** Begins to count anew how long a head has been coming in, if one is. */
-  void restartHead() {
+  /** Restarts the measurement for a head that is arriving, if one is. */
+  void restartHeadTimer() {
     synchronized (lock) {
       headSinceNanos = headSinceNanos == 0 ? 0 : System.nanoTime();
       headChecks = 0;
@@ -115,27 +118,34 @@
   }
 
   /**
-   * Whether the head of a request has been coming in for longer than a time, and at as many checks
-   * as come in it: where this process stood still, it may only not have read what was there.
+   * Counts a check, and returns whether a head has been arriving both for longer than a time and
+   * during as many checks as run in it. Time alone is not enough: a stalled process may not have
+   * read bytes that were there.
+   *
+   * @param nanos the time in ns
+   * @param checks number of checks that run in it
    */
-  boolean checkHead(long nanos, long checks) {
+  boolean checkHeadTimeout(long nanos, long checks) {
     synchronized (lock) {
       headChecks++;
       return headChecks >= checks && headTakesLongerThan(nanos);
     }
   }
 
-  /** Whether the head of a request has been coming in for longer than a time. */
+  /** Whether the head of a request has been arriving for longer than a time, in ns. */
   boolean headTakesLongerThan(long nanos) {
     synchronized (lock) {
       return headSinceNanos != 0 && System.nanoTime() - headSinceNanos > nanos;
     }
   }
 
-  /** Not once watching has ended, or the server could not wait for the next request. */
+  /**
+   * Registers for readiness to read, unless watching has stopped: the server could then not
+   * register to read the next request, since only one registration is possible.
+   */
   private void register() {
     synchronized (lock) {
-      if (onGone != null) {
+      if (onDisconnect != null) {
         getFillInterest().tryRegister(new Watch());
       }
     }
@@ -145,14 +155,14 @@
     Runnable listener = null;
     boolean again = false;
     synchronized (lock) {
-      if (onGone == null) {
+      if (onDisconnect == null) {
         return;
       }
       if (readAhead()) {
-        again = !side.hasRemaining();
+        again = !sideBuffer.hasRemaining();
       } else {
-        listener = onGone;
-        onGone = null;
+        listener = onDisconnect;
+        onDisconnect = null;
       }
     }
     if (listener != null) {
@@ -162,13 +172,17 @@
     }
   }
 
-  /** False when the caller has closed its side. Bytes of a next request end the watch. */
+  /**
+   * Reads into the side buffer. Bytes of a next request end the watch.
+   *
+   * @return false when the caller has closed its side
+   */
   private boolean readAhead() {
     ByteBuffer buffer = BufferUtil.allocate(SIDE_BUFFER_BYTES);
     try {
       int read = super.fill(buffer);
       endOfInput = read < 0;
-      side = buffer;
+      sideBuffer = buffer;
       return read >= 0;
     } catch (IOException e) {
       endOfInput = true;
@@ -183,15 +197,15 @@
     }
     Runnable listener;
     synchronized (lock) {
-      listener = onGone;
-      onGone = null;
+      listener = onDisconnect;
+      onDisconnect = null;
     }
     if (listener != null) {
       listener.run();
     }
   }
 
-  /** Hears of readiness to read while a request is served. */
+  /** Callback for readiness to read while a request is served. */
   private final class Watch implements Callback {
 
     @Override
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/package-info.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/package-info.java
@@ -1,7 +1,9 @@
 /**
- * The gateway: passes opaque requests of callers on to engines and their answers back. The door
- * reads a request whole, the dispatch duty decides where it runs, an attempt at an engine relays
- * the answer. What the headers of the outside parties are called is behind the ports {@link
- * org.fallturn.node.gateway.CallerProtocol} and {@link org.fallturn.node.gateway.EngineProtocol}.
+ * The gateway: a reverse proxy that forwards opaque requests of callers to engines and relays the
+ * answers. {@link org.fallturn.node.gateway.CallerRequestHandler} reads a whole request, {@link
+ * org.fallturn.node.gateway.DispatchDuty} decides which engine runs it, and an {@link
+ * org.fallturn.node.gateway.EngineAttempt} sends it and relays the answer. The ports {@link
+ * org.fallturn.node.gateway.CallerProtocol} and {@link org.fallturn.node.gateway.EngineProtocol}
+ * hide the header names of callers and engines.
  */
 package org.fallturn.node.gateway;
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/CacheSurveyTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/CacheSurveyTest.java
@@ -18,14 +18,19 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against two failures of the poll for cache lists: engines that nobody polls, so that the
+ * estimates of their caches drift, and engines that are polled too often or too many at once, which
+ * delays their work.
+ */
 class CacheSurveyTest {
 
   private static final long START = 5_000_000_000L;
 
   private final List<String> asked = new ArrayList<>();
   private final List<Consumer<Optional<List<PromptPart>>>> answers = new ArrayList<>();
-  private final List<DispatchEvent> told = new ArrayList<>();
-  private final Set<String> own = new HashSet<>();
+  private final List<DispatchEvent> posted = new ArrayList<>();
+  private final Set<String> polledHere = new HashSet<>();
   private final CacheSurvey survey = survey(false);
 
   private int lookups;
@@ -36,10 +41,10 @@
           asked.add(engine.id());
           answers.add(answer);
         },
-        told::add,
+        posted::add,
         engine -> {
           lookups++;
-          return own.contains(engine);
+          return polledHere.contains(engine);
         },
         firstStart);
   }
@@ -79,7 +84,7 @@
 
   @Test
   void asksItsOwnModelEnginesAtOnceAndOthersOnlyWhenNobodyTells() {
-    own.add("d-1");
+    polledHere.add("d-1");
     survey.onDirectory(
         listed(
             engine("d-1", EngineStage.DECODE),
@@ -101,7 +106,7 @@
 
   @Test
   void enginesThatComeLaterOrWithTheWholeSystemKeepNothingYet() {
-    own.addAll(List.of("d-1", "d-2"));
+    polledHere.addAll(List.of("d-1", "d-2"));
     survey.onDirectory(listed(engine("d-1", EngineStage.DECODE)), START);
     survey.onTick(START);
     survey.onDirectory(
@@ -122,7 +127,7 @@
             .mapToObj(number -> engine("d-" + number, EngineStage.DECODE))
             .toArray(ServingEngine[]::new);
     for (ServingEngine engine : many) {
-      own.add(engine.id());
+      polledHere.add(engine.id());
     }
     survey.onDirectory(listed(many), START);
     survey.onTick(START);
@@ -138,7 +143,7 @@
 
   @Test
   void enginesThatReadPromptsAheadAreAskedFirst() {
-    own.addAll(List.of("d-1", "p-1"));
+    polledHere.addAll(List.of("d-1", "p-1"));
     survey.onDirectory(
         listed(engine("d-1", EngineStage.DECODE), engine("p-1", EngineStage.PREFILL)), START);
     survey.onTick(START);
@@ -160,7 +165,7 @@
 
   @Test
   void anEngineIsAskedAgainAfterFiveSecondsByOneNodeAndAfterFifteenByAny() {
-    own.add("d-1");
+    polledHere.add("d-1");
     survey.onDirectory(
         listed(engine("d-1", EngineStage.DECODE), engine("d-2", EngineStage.DECODE)), START);
     survey.onPeerReport("d-1", START);
@@ -181,13 +186,13 @@
 
   @Test
   void answersComeAsEvents() {
-    own.add("d-1");
+    polledHere.add("d-1");
     survey.onDirectory(listed(engine("d-1", EngineStage.DECODE)), START);
     survey.onTick(START);
     answers.get(0).accept(Optional.of(List.of(new PromptPart("aa", 30))));
     answers.get(0).accept(Optional.empty());
-    DispatchEvent.CacheListed known = (DispatchEvent.CacheListed) told.get(0);
+    DispatchEvent.CacheListed known = (DispatchEvent.CacheListed) posted.get(0);
     assertThat(known.parts().orElseThrow().parts()).containsExactly(new PromptPart("aa", 30));
-    assertThat(((DispatchEvent.CacheListed) told.get(1)).parts()).isEmpty();
+    assertThat(((DispatchEvent.CacheListed) posted.get(1)).parts()).isEmpty();
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
@@ -40,15 +40,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A class that could not be loaded once ended the thread "dispatch" without a line in the log. The
- * node went on calling itself ready, took requests, and held each to its deadline. It is to answer
- * them truthfully, take no more, and end.
+ * Guards against a node that outlives its dispatch thread: when that thread ended on a class that
+ * could not be loaded, nothing was logged, the node still reported ready and kept each request
+ * until its deadline. The node must answer pending requests, saying truthfully whether they may
+ * have run, accept no more, and end.
  */
 class DispatchFaultTest {
 
-  private static final Duration LONGEST = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
 
-  /** Longer than any wait of the test, so that no answer is due to it. */
+  /** Longer than any wait of the test, so that no answer comes from a missed deadline. */
   private static final Duration DEADLINE = Duration.ofSeconds(300);
 
   private static final String FAULT_HEADER = "X-Fault";
@@ -72,7 +73,7 @@
   private final CompletableFuture<Integer> exit = new CompletableFuture<>();
   private final HttpClient client = HttpClient.newHttpClient();
 
-  /** A table with one row that does not change. */
+  /** Table with one row that never changes. */
   private static final class OneRow implements RowFeed {
 
     @Override
@@ -91,7 +92,7 @@
     }
   }
 
-  /** A store that holds nothing in quarantine. */
+  /** Store with nothing in quarantine. */
   private static final class EmptyQuarantine implements QuarantineStore {
 
     @Override
@@ -146,7 +147,7 @@
     };
   }
 
-  /** Fails on the dispatch thread where a request says so. */
+  /** Protocol that fails on the dispatch thread for requests that carry the fault header. */
   private static EngineProtocol engines() {
     return (EngineProtocol)
         Proxy.newProxyInstance(
@@ -200,10 +201,10 @@
   }
 
   private static int within(CompletableFuture<Integer> answer) throws Exception {
-    return answer.get(LONGEST.toSeconds(), TimeUnit.SECONDS);
+    return answer.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
   }
 
-  /** Waits until the engine has got the head of a request, which it never answers. */
+  /** Waits until the first byte of a request reaches the engine, which never answers it. */
   private static Socket takeRequest(ServerSocket engine) throws IOException {
     Socket connection = engine.accept();
     assertThat(connection.getInputStream().read()).isPositive();
@@ -222,7 +223,7 @@
                 CallerSocket.bind(settings.callers()),
                 exit::complete)) {
       gateway.start();
-      await().atMost(LONGEST).until(gateway::ready);
+      await().atMost(TIMEOUT).until(gateway::ready);
       CompletableFuture<Integer> running = ask(gateway, false);
       try (Socket taken = takeRequest(engine)) {
         CompletableFuture<Integer> never = ask(gateway, true);
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/EngineClientTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/EngineClientTest.java
@@ -18,10 +18,13 @@
 import org.fallturn.node.settings.GatewaySettings;
 import org.junit.jupiter.api.Test;
 
-/** What is sent to engines, and what no longer is. */
+/**
+ * Guards against requests to an engine that has asked this node for a pause after the request was
+ * decided: the client must hold them back.
+ */
 class EngineClientTest {
 
-  private static final Duration LONGEST = Duration.ofSeconds(15);
+  private static final Duration TIMEOUT = Duration.ofSeconds(15);
 
   private static final String SETTINGS =
       """
@@ -36,7 +39,7 @@
       address = "127.0.0.1:1"
       """;
 
-  /** Answers that say nothing of their engines. */
+  /** Protocol whose answers contain no notices. */
   private static EngineProtocol protocol() {
     return (EngineProtocol)
         Proxy.newProxyInstance(
@@ -46,15 +49,15 @@
                 method.getName().equals("readNotice") ? EngineNotice.NONE : null);
   }
 
-  /** Sends a call and gives its end. */
-  private static Result end(EngineClient client, ServingEngine engine) throws Exception {
-    CompletableFuture<Result> end = new CompletableFuture<>();
-    client.newRequest(engine, "GET", "/x").send(end::complete);
-    return end.get(LONGEST.toSeconds(), TimeUnit.SECONDS);
+  /** Sends a call and waits for its result. */
+  private static Result call(EngineClient client, ServingEngine engine) throws Exception {
+    CompletableFuture<Result> result = new CompletableFuture<>();
+    client.newRequest(engine, "GET", "/x").send(result::complete);
+    return result.get(TIMEOUT.toSeconds(), TimeUnit.SECONDS);
   }
 
   @Test
-  void nothingIsSentToAnEngineThatRests() throws Exception {
+  void sendsNothingToEngineThatAskedForPause() throws Exception {
     QueuedThreadPool threads = new QueuedThreadPool(8);
     threads.start();
     GatewaySettings settings =
@@ -72,9 +75,9 @@
               8,
               false,
               EngineStage.NONE);
-      notices.onRest(engine.id(), LONGEST.toNanos(), System.nanoTime());
-      Result held = end(client, engine);
-      assertThat(held.getRequestFailure()).isInstanceOf(EngineHeldBackException.class);
+      notices.onRest(engine.id(), TIMEOUT.toNanos(), System.nanoTime());
+      Result result = call(client, engine);
+      assertThat(result.getRequestFailure()).isInstanceOf(EngineHeldBackException.class);
     } finally {
       threads.stop();
     }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/OrderedWriterTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/OrderedWriterTest.java
@@ -9,11 +9,15 @@
 import org.eclipse.jetty.util.Callback;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against two failures when parts arrive faster than they are written: a part that is
+ * written before the previous one is done, and a failure that is reported to the wrong part.
+ */
 class OrderedWriterTest {
 
   private final List<String> begun = new ArrayList<>();
   private final List<Callback> pending = new ArrayList<>();
-  private final List<String> told = new ArrayList<>();
+  private final List<String> results = new ArrayList<>();
   private final OrderedWriter writer =
       new OrderedWriter(
           (last, bytes, callback) -> {
@@ -25,7 +29,7 @@
     writer.write(
         last,
         ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)),
-        Callback.from(() -> told.add(text), failure -> told.add(text + " failed")));
+        Callback.from(() -> results.add(text), failure -> results.add(text + " failed")));
   }
 
   @Test
@@ -39,16 +43,16 @@
     pending.get(1).succeeded();
     pending.get(2).succeeded();
     assertThat(begun).containsExactly("a", "b", "c!");
-    assertThat(told).containsExactly("a", "b", "c");
+    assertThat(results).containsExactly("a", "b", "c");
   }
 
   @Test
-  void failureIsToldToThePartThatFailed() {
+  void failureIsReportedToThePartThatFailed() {
     write(false, "a");
     write(false, "b");
     pending.get(0).failed(new IllegalStateException("the caller left"));
     assertThat(begun).containsExactly("a", "b");
     pending.get(1).succeeded();
-    assertThat(told).containsExactly("a failed", "b");
+    assertThat(results).containsExactly("a failed", "b");
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/WatchedConnectorTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/WatchedConnectorTest.java
@@ -27,10 +27,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A caller was told by 408 that the head of its request took too long, once in some 600,000
- * requests beside much other work, though it had sent the whole head at once. Where the process
- * stands still between reading a head's first bytes and serving it, for longer than a head may take
- * but not for a second, the first check after that counted the time as the caller's.
+ * Guards against a 408 answer to a caller that sent the whole head of its request at once, seen
+ * once in some 600,000 requests on a busy machine. It happens when the process stalls between
+ * reading the first bytes of a head and serving it, for longer than the head timeout but less than
+ * a second, and the first check afterwards blames the caller for that time.
  */
 class WatchedConnectorTest {
 
@@ -40,8 +40,8 @@
   private Server server;
   private WatchedConnector connector;
 
-  /** Time stands still for the checks until the test lets one come. */
-  private final class HeldScheduler extends AbstractLifeCycle implements Scheduler {
+  /** Scheduler that collects the checks, so that the test runs each when it wants to. */
+  private final class ManualScheduler extends AbstractLifeCycle implements Scheduler {
 
     @Override
     public Task schedule(Runnable task, long delay, TimeUnit units) {
@@ -52,7 +52,7 @@
     }
   }
 
-  /** Answers once the head is whole. */
+  /** Answers a request when its head is complete. */
   private static final class Answering extends Handler.Abstract {
 
     @Override
@@ -65,7 +65,7 @@
 
   @BeforeEach
   void start() throws Exception {
-    server = new Server(null, new HeldScheduler(), null);
+    server = new Server(null, new ManualScheduler(), null);
     connector = new WatchedConnector(server, new HttpConnectionFactory(new HttpConfiguration()));
     connector.setHost(InetAddress.getLoopbackAddress().getHostAddress());
     connector.setHeadTimeout(HEAD_TIMEOUT);
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void timeInWhichTheProcessStoodStillIsNotTheCallers() throws Exception {
+  void timeInWhichProcessStalledIsNotCountedAgainstCaller() throws Exception {
     try (Socket caller = callerWhoseHeadHasBegun()) {
       check();
       caller.getOutputStream().write("fleet\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void headThatIsStillComingInAtEveryCheckIsEnded() throws Exception {
+  void headThatIsStillArrivingAtEveryCheckIsAnsweredWith408() throws Exception {
     try (Socket caller = callerWhoseHeadHasBegun()) {
       while (caller.getInputStream().available() == 0) {
         check();
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/WatchedEndPointTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/WatchedEndPointTest.java
@@ -27,17 +27,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A caller that sent thousands of requests over a kept connection saw it closed without an answer,
- * once in some 200,000. A connection is watched while its request is served. Where it was found
- * readable with nothing to read, as happens when the bytes that made it so have been read already,
- * it was watched anew, even if the answer had been given in between. The server could then not wait
- * for the next request, since somebody waited already ("ReadPendingException"), and closed the
- * connection. Here each connection is found readable now and then.
+ * Guards against a keep-alive connection that is closed without an answer, seen once in some
+ * 200,000 requests. A connection is watched while its request is served. When it became readable
+ * with nothing to read, because the bytes had been read already, the watch registered again, even
+ * if the answer had been written in between. The server could then not register for the next
+ * request ("ReadPendingException") and closed the connection. The test makes connections readable
+ * at random moments.
  */
 class WatchedEndPointTest {
 
   private static final int REQUESTS = 100_000;
-  private static final int MOST_SPINS = 2_000;
+  private static final int MAX_SPINS = 2_000;
   private static final byte[] REQUEST =
       "GET / HTTP/1.1\r\nHost: fleet.example\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
@@ -49,8 +49,8 @@
   private Server server;
   private WatchedConnector connector;
   private final CountDownLatch headRead = new CountDownLatch(1);
-  private volatile boolean takenForAHead;
-  private volatile boolean over;
+  private volatile boolean takenForHead;
+  private volatile boolean stopped;
 
   @BeforeEach
   void start() throws Exception {
@@ -64,7 +64,7 @@
 
   @AfterEach
   void stop() throws Exception {
-    over = true;
+    stopped = true;
     pool.shutdownNow();
     server.stop();
   }
@@ -77,7 +77,7 @@
       EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
       WatchedEndPoint watched = (WatchedEndPoint) endPoint;
       if (request.getLength() > 0) {
-        readBodyAfterTheEndOfTheLastRequest(watched, request);
+        readBodyAfterEndOfPreviousRequest(watched, request);
       }
       watched.watch(() -> {});
       pool.execute(
@@ -89,37 +89,37 @@
     }
   }
 
-  /** The server has begun with a request before it says that the last one was over. */
-  private void readBodyAfterTheEndOfTheLastRequest(WatchedEndPoint watched, Request request)
+  /** Simulates a server that starts a request before it reports the end of the previous one. */
+  private void readBodyAfterEndOfPreviousRequest(WatchedEndPoint watched, Request request)
       throws Exception {
-    Runnable endOfTheLast = watched.beginServing();
+    Runnable endOfPrevious = watched.beginServing();
     watched.beginServing();
-    endOfTheLast.run();
+    endOfPrevious.run();
     headRead.countDown();
     Content.Source.asString(request);
-    takenForAHead = watched.headTakesLongerThan(0);
+    takenForHead = watched.headTakesLongerThan(0);
   }
 
   /**
-   * A caller was told by 408 that the head of its request took too long, once in 588,798 requests
-   * over a kept connection beside much other work: what came in after the end of one request was
-   * taken for the head of the next, though that was being served already.
+   * Guards against a 408 answer to a request whose body arrives, seen once in 588,798 requests over
+   * a keep-alive connection on a busy machine. Bytes that arrived after the end of one request were
+   * taken for the head of the next, although the next was being served already.
    */
   @Test
-  void bodyIsNotTakenForAHeadWhenTheLastRequestEndsLate() throws Exception {
+  void bodyIsNotTakenForHeadWhenPreviousRequestEndsLate() throws Exception {
     try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), connector.getLocalPort())) {
       caller.getOutputStream().write(REQUEST_WITH_BODY);
       assertThat(headRead.await(20, TimeUnit.SECONDS)).isTrue();
       caller.getOutputStream().write('x');
       assertThat(readAnswer(caller.getInputStream())).isTrue();
-      assertThat(takenForAHead).isFalse();
+      assertThat(takenForHead).isFalse();
     }
   }
 
-  private void findReadableNowAndThen() {
+  private void makeReadableAtRandom() {
     Random random = new Random(1);
-    while (!over) {
-      for (int spin = random.nextInt(MOST_SPINS); spin > 0; spin--) {
+    while (!stopped) {
+      for (int spin = random.nextInt(MAX_SPINS); spin > 0; spin--) {
         Thread.onSpinWait();
       }
       for (EndPoint endPoint : connector.getConnectedEndPoints()) {
@@ -129,8 +129,8 @@
   }
 
   @Test
-  void connectionIsKeptHoweverOftenItIsFoundReadable() throws Exception {
-    pool.execute(this::findReadableNowAndThen);
+  void connectionStaysOpenHoweverOftenItBecomesReadable() throws Exception {
+    pool.execute(this::makeReadableAtRandom);
     try (Socket caller = new Socket(InetAddress.getLoopbackAddress(), connector.getLocalPort())) {
       for (int request = 0; request < REQUESTS; request++) {
         caller.getOutputStream().write(REQUEST);
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Whether a whole answer came, which here ends with its head. */
+  /** Reads an answer, which has no body here; returns whether it was complete. */
   private static boolean readAnswer(InputStream in) throws Exception {
     int lineEnds = 0;
     while (lineEnds < 4) {
