--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
@@ -48,7 +48,7 @@
   private final Consumer<DispatchEvent> events;
   private final Predicate<String> pollsEngine;
   private final boolean firstStart;
-  private final Map<String, Surveyed> engines = new HashMap<>();
+  private final Map<String, PolledEngine> engines = new HashMap<>();
   private int pendingPolls;
   private boolean started;
   private long startedNanos;
@@ -66,13 +66,13 @@
   }
 
   /** What is known about the list of one engine. */
-  private static final class Surveyed {
+  private static final class PolledEngine {
     private ServingEngine engine;
     private boolean known;
     private long lastNanos;
     private boolean polling;
 
-    Surveyed(ServingEngine engine, boolean known, long nowNanos) {
+    PolledEngine(ServingEngine engine, boolean known, long nowNanos) {
       this.engine = engine;
       this.known = known;
       this.lastNanos = nowNanos;
@@ -104,21 +104,21 @@
    * the list of some engine is missing.
    */
   boolean shouldDelayPrompts(long nowNanos) {
-    return nowNanos - startedNanos < MAX_PROMPT_DELAY_NANOS && someUnknown();
+    return nowNanos - startedNanos < MAX_PROMPT_DELAY_NANOS && anyListMissing();
   }
 
   /** Whether the other nodes should be asked for their lists. */
   boolean wantsListings(long nowNanos) {
-    return started && nowNanos - startedNanos < WAIT_FOR_PEERS_NANOS && someUnknown();
+    return started && nowNanos - startedNanos < WAIT_FOR_PEERS_NANOS && anyListMissing();
   }
 
-  private boolean someUnknown() {
-    return engines.values().stream().anyMatch(surveyed -> !surveyed.known);
+  private boolean anyListMissing() {
+    return engines.values().stream().anyMatch(polled -> !polled.known);
   }
 
   /** Applies a newer list of engines. Engines that are added later start with empty caches. */
   void onDirectory(EngineDirectory newDirectory, long nowNanos) {
-    boolean areNew = started || firstStart;
+    boolean cachesAreEmpty = started || firstStart;
     if (!started) {
       started = true;
       startedNanos = nowNanos;
@@ -127,26 +127,28 @@
     for (ServingEngine engine : newDirectory.all()) {
       if (engine.stage() != EngineStage.NONE) {
         present.add(engine.id());
-        engines.computeIfAbsent(engine.id(), id -> new Surveyed(engine, areNew, nowNanos)).engine =
+        engines.computeIfAbsent(
+                    engine.id(), id -> new PolledEngine(engine, cachesAreEmpty, nowNanos))
+                .engine =
             engine;
       }
     }
     engines.keySet().retainAll(present);
-    answered = (int) engines.values().stream().filter(surveyed -> surveyed.known).count();
+    answered = (int) engines.values().stream().filter(polled -> polled.known).count();
   }
 
   /** Another node sent the list of an engine. */
   void onPeerReport(String engineId, long nowNanos) {
-    Surveyed surveyed = engines.get(engineId);
-    if (surveyed != null) {
-      onKnown(surveyed, nowNanos);
+    PolledEngine polled = engines.get(engineId);
+    if (polled != null) {
+      onKnown(polled, nowNanos);
     }
   }
 
-  private void onKnown(Surveyed surveyed, long nowNanos) {
-    surveyed.lastNanos = nowNanos;
-    if (!surveyed.known) {
-      surveyed.known = true;
+  private void onKnown(PolledEngine polled, long nowNanos) {
+    polled.lastNanos = nowNanos;
+    if (!polled.known) {
+      polled.known = true;
       answered++;
     }
   }
@@ -154,12 +156,12 @@
   /** Ends a poll: the engine answered, or the call failed. */
   void onAnswer(DispatchEvent.CacheListed answer, long nowNanos) {
     pendingPolls--;
-    Surveyed surveyed = engines.get(answer.engineId());
-    if (surveyed != null) {
-      surveyed.polling = false;
-      surveyed.lastNanos = nowNanos;
+    PolledEngine polled = engines.get(answer.engineId());
+    if (polled != null) {
+      polled.polling = false;
+      polled.lastNanos = nowNanos;
       if (answer.parts().isPresent()) {
-        onKnown(surveyed, nowNanos);
+        onKnown(polled, nowNanos);
       }
     }
     onTick(nowNanos);
@@ -167,16 +169,16 @@
 
   /** Polls the engines that are due. Prefill engines go first, since they cache most. */
   void onTick(long nowNanos) {
-    List<Surveyed> due = new ArrayList<>();
-    for (Surveyed surveyed : engines.values()) {
-      if (!surveyed.polling && isDue(surveyed, nowNanos)) {
-        due.add(surveyed);
+    List<PolledEngine> due = new ArrayList<>();
+    for (PolledEngine polled : engines.values()) {
+      if (!polled.polling && isDue(polled, nowNanos)) {
+        due.add(polled);
       }
     }
-    due.sort(Comparator.comparing(surveyed -> surveyed.engine.stage() != EngineStage.PREFILL));
-    for (Surveyed surveyed : due) {
+    due.sort(Comparator.comparing(polled -> polled.engine.stage() != EngineStage.PREFILL));
+    for (PolledEngine polled : due) {
       if (pendingPolls < MAX_CONCURRENT_POLLS) {
-        poll(surveyed, nowNanos);
+        poll(polled, nowNanos);
       }
     }
   }
@@ -185,19 +187,19 @@
    * Whether this node should poll the engine now. Looks up last which node polls it: that ranks
    * every relay, and on most ticks nothing is due.
    */
-  private boolean isDue(Surveyed surveyed, long nowNanos) {
-    long since = nowNanos - surveyed.lastNanos;
-    if (since >= (surveyed.known ? MAX_INTERVAL_NANOS : WAIT_FOR_PEERS_NANOS)) {
+  private boolean isDue(PolledEngine polled, long nowNanos) {
+    long since = nowNanos - polled.lastNanos;
+    if (since >= (polled.known ? MAX_INTERVAL_NANOS : WAIT_FOR_PEERS_NANOS)) {
       return true;
     }
-    boolean perhapsDue = !surveyed.known || since >= INTERVAL_NANOS;
-    return perhapsDue && pollsEngine.test(surveyed.engine.id());
+    boolean mayBeDue = !polled.known || since >= INTERVAL_NANOS;
+    return mayBeDue && pollsEngine.test(polled.engine.id());
   }
 
-  private void poll(Surveyed surveyed, long nowNanos) {
-    surveyed.polling = true;
+  private void poll(PolledEngine polled, long nowNanos) {
+    polled.polling = true;
     pendingPolls++;
-    ServingEngine engine = surveyed.engine;
+    ServingEngine engine = polled.engine;
     lister.listCache(engine, parts -> events.accept(event(engine, nowNanos, parts)));
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -405,7 +405,7 @@
       if (exchange.envelope().remainingNanos(now) <= 0) {
         onDeadlineExceeded(exchange, now);
       } else {
-        checkPatience(exchange, now);
+        checkTimeout(exchange, now);
       }
     }
     startDelayed(now);
@@ -460,7 +460,7 @@
         mayHaveRun ? Optional.empty() : Optional.of(Duration.ofSeconds(1)));
   }
 
-  private void checkPatience(Exchange exchange, long now) {
+  private void checkTimeout(Exchange exchange, long now) {
     EngineAttempt attempt = exchange.attempt().orElse(null);
     if (attempt == null || !attempt.waiting()) {
       return;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
@@ -137,10 +137,11 @@
       response.abort(new IllegalStateException("the answer belongs to another request"));
       return;
     }
-    streamed = goodAnswer() && exchange.envelope().route().streaming();
+    streamed = isStampedSuccess() && exchange.envelope().route().streaming();
   }
 
-  private boolean goodAnswer() {
+  /** Whether the engine answered a request, other than a prefill, with a success of its own. */
+  private boolean isStampedSuccess() {
     return !call.prefillOnly() && head.success() && head.stamped();
   }
 
@@ -172,7 +173,7 @@
       return;
     }
     buffer.writeBytes(copy);
-    if (buffer.size() > MAX_WHOLE_ANSWER_BYTES && goodAnswer()) {
+    if (buffer.size() > MAX_WHOLE_ANSWER_BYTES && isStampedSuccess()) {
       ByteBuffer all = ByteBuffer.wrap(buffer.toByteArray());
       buffer.reset();
       relay(all, response, demander);
@@ -254,7 +255,7 @@
       fail(AttemptOutcome.NOT_EXECUTED);
     } else if (call.prefillOnly()) {
       finishPrefill();
-    } else if (goodAnswer()) {
+    } else if (isStampedSuccess()) {
       exchange.answerWhole(this, head.status(), protocol.answerHeaders(headers), bufferedBody());
     } else {
       fail(isRelayableFailure() ? AttemptOutcome.ANSWERED_FAILURE : AttemptOutcome.LOST);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/Exchange.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/Exchange.java
@@ -201,13 +201,13 @@
    * answer was written already, aborts instead: the failure would make the truncated stream look
    * complete.
    */
-  void relayEngineFailure(EngineAttempt from, EngineProtocol protocol) {
+  void relayEngineFailure(EngineAttempt failed, EngineProtocol protocol) {
     if (answerBegun) {
       abort();
       return;
     }
-    beginAnswer(from.head().status(), protocol.answerHeaders(from.headers()));
-    finish(ByteBuffer.wrap(from.bufferedBody()));
+    beginAnswer(failed.head().status(), protocol.answerHeaders(failed.headers()));
+    finish(ByteBuffer.wrap(failed.bufferedBody()));
   }
 
   /** Answers with an error that this node generates; call on the dispatch thread. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -220,7 +220,7 @@
     return new Scaling(
         new ScaleControl(settings.scaleParameters()),
         this::engineListIsFresh,
-        wish -> scaling.ifPresent(duty -> duty.offer(wish)));
+        action -> scaling.ifPresent(duty -> duty.offer(action)));
   }
 
   /**
