--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -96,7 +96,7 @@
 
   /** The listed engines, of which those leave that have said so, whatever their entries say. */
   public EngineDirectory directory() {
-    return listed.withLeaving(notices::leaves);
+    return listed.withLeaving(notices::isLeaving);
   }
 
   /**
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineNotices.java
@@ -15,14 +15,14 @@
  * node, and how many requests they take from all. Kept by the id of one start of an engine, so that
  * a later start begins with nothing.
  *
- * <p>Invariants: an engine that leaves never takes that back, whatever older news come later; a
+ * <p>Invariants: an engine that isLeaving never takes that back, whatever older news come later; a
  * rest lasts until the latest of the times that were said. Thread-safe: answers are read on client
  * threads, before they are passed on, and decisions are made on the dispatch thread.
  */
 public final class EngineNotices {
 
   /**
-   * How long it is remembered that an engine leaves whose entry is gone: entries lapse while the
+   * How long it is remembered that an engine isLeaving whose entry is gone: entries lapse while the
    * store is away, for 13 s when it was seen, and may come back. Judged: long enough for any such
    * time, short enough that what is kept stays small.
    */
@@ -81,8 +81,8 @@
     return restNanos > 0 && (before == null || end - before > 0);
   }
 
-  /** Whether an engine has said that it leaves. */
-  public boolean leaves(String engineId) {
+  /** Whether an engine has said that it isLeaving. */
+  public boolean isLeaving(String engineId) {
     return leavingSince.containsKey(engineId);
   }
 
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -353,7 +353,7 @@
     if (!open.isEmpty()) {
       return open.stream().filter(engine -> !progress.hasTried(engine)).toList();
     }
-    return departures.lately(progress.service(), nowNanos).stream()
+    return departures.recentlyLeft(progress.service(), nowNanos).stream()
         .filter(engine -> fits.test(engine) && open(engine, nowNanos))
         .filter(engine -> usable(engine, progress, nowNanos))
         .toList();
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/LocalDigests.java
@@ -70,9 +70,9 @@
         || !pace.recent(id, nowNanos).isNegligible();
   }
 
-  /** Whether an engine leaves without saying so in its entry: others may not know it yet. */
+  /** Whether an engine isLeaving without saying so in its entry: others may not know it yet. */
   private boolean leavesUnlisted(String id, EngineDirectory listed) {
-    return notices.leaves(id) && listed.find(id).filter(engine -> !engine.leaving()).isPresent();
+    return notices.isLeaving(id) && listed.find(id).filter(engine -> !engine.leaving()).isPresent();
   }
 
   private static int heardAgoMillis(EngineLoad load, long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RecentDepartures.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RecentDepartures.java
@@ -50,7 +50,7 @@
   }
 
   /** Engines of a service that may still be used. */
-  List<ServingEngine> lately(String service, long nowNanos) {
+  List<ServingEngine> recentlyLeft(String service, long nowNanos) {
     return byId.values().stream()
         .filter(departure -> nowNanos - departure.untilNanos() < 0)
         .map(Departure::engine)
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -59,7 +59,7 @@
   private final PendingRequestTerminator terminator;
   private final CacheSurvey survey;
   private final Consumer<StageChange> stageChanges;
-  private final QuarantineKeeper keeper;
+  private final QuarantineActions keeper;
   private final RunCounter runs;
   private final Scaling scaling;
   private final List<Exchange> waitingForCacheLists = new ArrayList<>();
@@ -76,7 +76,7 @@
       PeerTalk peers,
       CacheSurvey survey,
       Consumer<StageChange> stageChanges,
-      QuarantineKeeper keeper,
+      QuarantineActions keeper,
       RunCounter runs,
       Scaling scaling,
       BooleanSupplier stopping) {
@@ -381,7 +381,7 @@
   }
 
   private void updateQuarantine(long now) {
-    keeper.keep(now).forEach(content -> withdrawCopies(content, now));
+    keeper.carryOutDue(now).forEach(content -> withdrawCopies(content, now));
   }
 
   /** Cancels running copies of a quarantined request: they would crash their engines too. */
@@ -422,7 +422,7 @@
     }
     if (now - lastStageNanos >= STAGE_NANOS) {
       lastStageNanos = now;
-      log.droppedLines();
+      log.logDroppedLines();
       dispatcher.wantedStageChange(now).ifPresent(stageChanges);
       scaling.onTick(dispatcher.stages().leads(now), now);
     }
