--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -54,7 +54,7 @@
   private final Dispatcher dispatcher;
   private final EngineClient engines;
   private final DecisionLog log;
-  private final PeerTalk peers;
+  private final PeerMessenger peers;
   private final Set<Exchange> active = new HashSet<>();
   private final PendingRequestTerminator terminator;
   private final CacheSurvey survey;
@@ -73,7 +73,7 @@
       Dispatcher dispatcher,
       EngineClient engines,
       DecisionLog log,
-      PeerTalk peers,
+      PeerMessenger peers,
       CacheSurvey survey,
       Consumer<StageChange> stageChanges,
       QuarantineActions keeper,
@@ -118,7 +118,7 @@
       dispatcher.setDirectory(changed.directory(), now);
       scaling.setDirectory(dispatcher.directory());
       survey.onDirectory(changed.directory(), now);
-      peers.tell(now);
+      peers.sendDue(now);
     } else if (event instanceof DispatchEvent.CacheListed answer) {
       log.cacheListed(answer);
       answer
@@ -126,21 +126,21 @@
           .ifPresent(
               parts -> dispatcher.fleet().onEngineCacheListing(parts, answer.askedAtNanos()));
       survey.onAnswer(answer, now);
-      peers.onListed(answer, now);
+      peers.onCacheListed(answer, now);
       startDelayed(now);
     } else if (event instanceof DispatchEvent.RoutingChanged changed) {
       dispatcher.setRouting(changed.image());
       scaling.setServices(changed.image().services());
       engines.setServices(changed.image());
-      peers.tell(now);
+      peers.sendDue(now);
     } else if (event instanceof DispatchEvent.StageChangeBegun begun) {
       dispatcher.onStageChangeBegun(begun.change(), now);
-      peers.tellNow(now);
+      peers.sendNow(now);
     } else if (event instanceof DispatchEvent.StageChangeAbandoned abandoned) {
       dispatcher.stages().abandon(abandoned.change());
     } else if (event instanceof DispatchEvent.CannotLead) {
       dispatcher.stages().onLeaseDenied(now);
-      peers.tellNow(now);
+      peers.sendNow(now);
     } else if (event instanceof DispatchEvent.StageOrderUnanswered unanswered) {
       dispatcher.stages().onUnanswered(unanswered.change(), now);
     } else if (event instanceof DispatchEvent.EngineGone gone) {
@@ -159,7 +159,7 @@
       scaling.onAnswer(answered.order(), answered.outcome(), now);
     } else if (event instanceof DispatchEvent.PeerMessageReceived received) {
       received.message().usage().ifPresent(runs::onPeerReport);
-      peers.onHeard(received.message(), now);
+      peers.onMessage(received.message(), now);
       startDelayed(now);
     }
   }
@@ -181,7 +181,7 @@
       scaling.setDirectory(dispatcher.directory());
     }
     if (leaving.stream().anyMatch(notice -> notice.source() == NoticeSource.ANSWER)) {
-      peers.tellNow(now);
+      peers.sendNow(now);
     }
   }
 
@@ -373,10 +373,10 @@
     long now = System.nanoTime();
     resumeWaiting(now);
     if (dispatcher.quarantine().takeUrgentChange()) {
-      peers.tellNow(now);
+      peers.sendNow(now);
       updateQuarantine(now);
     } else if (dispatcher.fleet().hasNewPrompts()) {
-      peers.tell(now);
+      peers.sendDue(now);
     }
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -89,7 +89,7 @@
   private final CacheSurvey survey;
   private final PeerSnapshots snapshots;
   private final FollowCounts followCounts = new FollowCounts();
-  private final List<NewsBell> bells = new CopyOnWriteArrayList<>();
+  private final List<ChangeSignal> changeSignals = new CopyOnWriteArrayList<>();
   private final DutyThread<DispatchEvent> dispatch;
   private final FatalFaultHandler faults;
   private final StageDuty stages;
@@ -159,7 +159,7 @@
             this::post,
             engine -> overlay.pollsEngine(engine, System.nanoTime()),
             settings.firstStart());
-    PeerTalk talk = new PeerTalk(overlay, dispatcher, survey, peers::send);
+    PeerMessenger messenger = new PeerMessenger(overlay, dispatcher, survey, peers::send);
     this.quarantine =
         new QuarantineDuty(platform.quarantine().create(engines.client()), this::post, log);
     this.keeper =
@@ -171,11 +171,11 @@
             dispatcher,
             engines,
             log,
-            talk,
+            messenger,
             survey,
             stages::offer,
             keeper,
-            runCounter(dispatcher, talk),
+            runCounter(dispatcher, messenger),
             newScaling(),
             state::stopping);
     this.dispatch = new DutyThread<>("dispatch", RING_SIZE, TICK, duty);
@@ -228,11 +228,10 @@
    * on an older list.
    */
   private boolean engineListIsFresh() {
-    return engineFollower.unconfirmedNanos(System.nanoTime())
-        < settings.bounds().contact().toNanos();
+    return engineFollower.stalenessNanos(System.nanoTime()) < settings.bounds().contact().toNanos();
   }
 
-  private RunCounter runCounter(Dispatcher dispatcher, PeerTalk talk) {
+  private RunCounter runCounter(Dispatcher dispatcher, PeerMessenger messenger) {
     if (usage.isEmpty()) {
       return RunCounter.NONE;
     }
@@ -240,7 +239,7 @@
         settings.duties().usage().orElseThrow(),
         new WallClock(System::nanoTime, System::currentTimeMillis),
         settings.firstStart(),
-        new UsageFleet(overlay, dispatcher, talk, settings.nodeName()),
+        new UsageFleet(overlay, dispatcher, messenger, settings.nodeName()),
         usage.get()::offer);
   }
 
@@ -250,8 +249,8 @@
       Consumer<FeedTracker> onRows,
       Duration maxGather) {
     Duration change = settings.bounds().drain();
-    NewsBell bell = new NewsBell();
-    bells.add(bell);
+    ChangeSignal changeSignal = new ChangeSignal();
+    changeSignals.add(changeSignal);
     return new RowFollower(
         table,
         new RowFollower.Sources(
@@ -260,7 +259,7 @@
         log,
         followCounts,
         new RowFollower.Times(
-            maxGather, FollowBounds.of(change, settings.bounds().contact()), bell));
+            maxGather, FollowBounds.of(change, settings.bounds().contact()), changeSignal));
   }
 
   private WatchedConnector newCallersConnector(ServerSocketChannel socket) throws IOException {
@@ -290,7 +289,7 @@
    * while callers wait.
    */
   public void start() throws Exception {
-    overlay.tables().setOnNewerVersion(() -> bells.forEach(NewsBell::ring));
+    overlay.tables().setOnNewerVersion(() -> changeSignals.forEach(ChangeSignal::signal));
     dispatch.start(DutyState.HELD_ALONE, faults);
     peers.start(faults);
     stages.start(faults);
@@ -303,7 +302,7 @@
     server.addConnector(callers);
     callers.start();
     readiness = ReadinessPort.open(settings.readiness(), platform.readinessPath(), state);
-    peerListener = new HttpListener("peers", peerPorts.questions(), PEER_THREADS, snapshots);
+    peerListener = new HttpListener("peers", peerPorts.requests(), PEER_THREADS, snapshots);
     openMetrics();
     quarantine.start(faults);
     log.started(settings.nodeName());
@@ -454,8 +453,8 @@
     };
   }
 
-  private RowFollower.Others others(String table) {
-    return new RowFollower.Others() {
+  private RowFollower.PeerReports others(String table) {
+    return new RowFollower.PeerReports() {
       @Override
       public long newestChange() {
         return overlay.tables().newest(table);
@@ -479,7 +478,7 @@
   }
 
   private void onRoutingRows(FeedTracker tracker) {
-    snapshots.keep(ROUTING, tracker);
+    snapshots.update(ROUTING, tracker);
     overlay.tables().onSeen(ROUTING, tracker.newestChange());
     for (FeedRow row : tracker.rows()) {
       if (platform.isRouting().test(row)) {
@@ -504,7 +503,7 @@
   }
 
   private void onEngineRows(FeedTracker tracker) {
-    snapshots.keep(ENGINES, tracker);
+    snapshots.update(ENGINES, tracker);
     overlay.tables().onSeen(ENGINES, tracker.newestChange());
     directory = EngineDirectory.of(tracker.position(), engineRows.read(tracker.rows()));
     post(new DispatchEvent.DirectoryChanged(directory));
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayState.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayState.java
@@ -52,7 +52,7 @@
   /** Whether other nodes know newer routes and keys than those in force on this node. */
   boolean routingIsBehind() {
     RowFollower follower = routingFollower;
-    return follower != null && follower.knowsOfNewer();
+    return follower != null && follower.knowsOfNewerChange();
   }
 
   /**
@@ -64,7 +64,7 @@
     RowFollower follower = routingFollower;
     return keyLifetime.isEmpty()
         || follower == null
-        || follower.unconfirmedNanos(nowNanos) < keyLifetime.get().toNanos();
+        || follower.stalenessNanos(nowNanos) < keyLifetime.get().toNanos();
   }
 
   /** Puts an image in force if it is newer than the current one; returns whether it was. */
