--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -59,7 +59,7 @@
   private final PendingRequestTerminator terminator;
   private final CacheSurvey survey;
   private final Consumer<StageChange> stageChanges;
-  private final QuarantineActions keeper;
+  private final QuarantineActions quarantineActions;
   private final RunCounter runs;
   private final Scaling scaling;
   private final List<Exchange> waitingForCacheLists = new ArrayList<>();
@@ -76,7 +76,7 @@
       PeerMessenger peers,
       CacheSurvey survey,
       Consumer<StageChange> stageChanges,
-      QuarantineActions keeper,
+      QuarantineActions quarantineActions,
       RunCounter runs,
       Scaling scaling,
       BooleanSupplier stopping) {
@@ -87,7 +87,7 @@
     this.peers = peers;
     this.survey = survey;
     this.stageChanges = stageChanges;
-    this.keeper = keeper;
+    this.quarantineActions = quarantineActions;
     this.runs = runs;
     this.scaling = scaling;
     this.stopping = stopping;
@@ -144,7 +144,7 @@
     } else if (event instanceof DispatchEvent.StageOrderUnanswered unanswered) {
       dispatcher.stages().onUnanswered(unanswered.change(), now);
     } else if (event instanceof DispatchEvent.EngineGone gone) {
-      keeper.onEngineGone(gone.engineId(), now);
+      quarantineActions.onEngineGone(gone.engineId(), now);
     } else if (event instanceof DispatchEvent.QuarantineLoaded loaded) {
       dispatcher.quarantine().onLoadedFromStore(loaded.held(), now);
     } else if (event instanceof DispatchEvent.QuarantineStored stored) {
@@ -381,7 +381,7 @@
   }
 
   private void updateQuarantine(long now) {
-    keeper.carryOutDue(now).forEach(content -> withdrawCopies(content, now));
+    quarantineActions.carryOutDue(now).forEach(content -> withdrawCopies(content, now));
   }
 
   /** Cancels running copies of a quarantined request: they would crash their engines too. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -91,12 +91,12 @@
   private final FollowCounts followCounts = new FollowCounts();
   private final List<ChangeSignal> changeSignals = new CopyOnWriteArrayList<>();
   private final DutyThread<DispatchEvent> dispatch;
-  private final FatalFaultHandler faults;
+  private final FatalFaultHandler faultHandler;
   private final StageDuty stages;
   private final Optional<UsageDuty> usage;
   private final Optional<ScaleDuty> scaling;
   private final QuarantineDuty quarantine;
-  private final QuarantineActions keeper;
+  private final QuarantineActions quarantineActions;
   private final RowFollower routingFollower;
   private final DecodedRows<ServingEngine> engineRows;
   private final RowFollower engineFollower;
@@ -120,20 +120,20 @@
    * @param settings settings of the node
    * @param platform adapters to the platform
    * @param callerSocket socket bound by {@link CallerSocket}; the gateway closes it
-   * @param processEnd called last when a duty fails for good
+   * @param processExit called last when a duty fails for good
    */
   public GatewayServer(
       GatewaySettings settings,
       GatewayPlatform platform,
       ServerSocketChannel callerSocket,
-      ProcessExit processEnd)
+      ProcessExit processExit)
       throws Exception {
     this.settings = settings;
     this.platform = platform;
     this.state =
         new GatewayState(
             platform.callers(), MAX_BODY_BYTES_IN_FLIGHT, settings.bounds().keyLifetime());
-    this.faults = new FatalFaultHandler(state, log, processEnd, new EndWork());
+    this.faultHandler = new FatalFaultHandler(state, log, processExit, new FatalFaultShutdown());
     threads.setName("gateway");
     this.server = new Server(threads);
     DispatchParameters parameters = settings.dispatchParameters();
@@ -162,7 +162,7 @@
     PeerMessenger messenger = new PeerMessenger(overlay, dispatcher, survey, peers::send);
     this.quarantine =
         new QuarantineDuty(platform.quarantine().create(engines.client()), this::post, log);
-    this.keeper =
+    this.quarantineActions =
         new QuarantineActions(dispatcher, new EngineProbe(engines, this::post), quarantine, log);
     this.scaling = settings.duties().api().map(address -> newScaleDuty(duties, address));
     this.usage = settings.duties().usage().map(windows -> newUsageDuty(duties));
@@ -174,7 +174,7 @@
             messenger,
             survey,
             stages::offer,
-            keeper,
+            quarantineActions,
             runCounter(dispatcher, messenger),
             newScaling(),
             state::stopping);
@@ -290,13 +290,13 @@
    */
   public void start() throws Exception {
     overlay.tables().setOnNewerVersion(() -> changeSignals.forEach(ChangeSignal::signal));
-    dispatch.start(DutyState.HELD_ALONE, faults);
-    peers.start(faults);
-    stages.start(faults);
-    usage.ifPresent(duty -> duty.start(faults));
-    scaling.ifPresent(duty -> duty.start(faults));
-    routingFollower.start(faults);
-    engineFollower.start(faults);
+    dispatch.start(DutyState.HELD_ALONE, faultHandler);
+    peers.start(faultHandler);
+    stages.start(faultHandler);
+    usage.ifPresent(duty -> duty.start(faultHandler));
+    scaling.ifPresent(duty -> duty.start(faultHandler));
+    routingFollower.start(faultHandler);
+    engineFollower.start(faultHandler);
     server.start();
     state.awaitReady(MAX_WAIT_TO_ACCEPT);
     server.addConnector(callers);
@@ -304,7 +304,7 @@
     readiness = ReadinessPort.open(settings.readiness(), platform.readinessPath(), state);
     peerListener = new HttpListener("peers", peerPorts.requests(), PEER_THREADS, snapshots);
     openMetrics();
-    quarantine.start(faults);
+    quarantine.start(faultHandler);
     log.started(settings.nodeName());
   }
 
@@ -320,7 +320,7 @@
     metrics.gauge("engine_limits_per_second", () -> (long) notices.limits().perSecond());
     metrics.gauge("engine_limits_sent", () -> notices.limits().sent(System.nanoTime()));
     metrics.gauge("caches_known", survey::answered);
-    metrics.gauge("contents_in_quarantine", keeper::quarantined);
+    metrics.gauge("contents_in_quarantine", quarantineActions::quarantined);
     metrics.gauge("stage_changes_abandoned", stages::abandoned);
     metrics.gauge("nodes", this::nodeCount);
     metrics.gauge("relay", () -> overlay.isRelay() ? 1 : 0);
@@ -424,7 +424,7 @@
    */
   public void watchSettings(Path file) {
     settingsWatch = new SettingsWatch(file, this::onSettings, log);
-    settingsWatch.start(faults);
+    settingsWatch.start(faultHandler);
   }
 
   private void onSettings(GatewaySettings changed) {
@@ -536,7 +536,7 @@
   }
 
   /** Stop that follows when a duty fails for good. */
-  private final class EndWork implements FatalFaultHandler.ShutdownSteps {
+  private final class FatalFaultShutdown implements FatalFaultHandler.ShutdownSteps {
 
     @Override
     public void stopDuties() {
