--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -53,7 +53,7 @@
   private final PendingRequestTerminator held;
   private final CacheSurvey survey;
   private final Consumer<StageChange> stageChanges;
-  private final QuarantineKeeper keeper;
+  private final QuarantineActions keeper;
   private final RunCounter runs;
   private final Scaling scaling;
   private final List<Exchange> waitingForSurvey = new ArrayList<>();
@@ -70,7 +70,7 @@
       PeerTalk peers,
       CacheSurvey survey,
       Consumer<StageChange> stageChanges,
-      QuarantineKeeper keeper,
+      QuarantineActions keeper,
       RunCounter runs,
       Scaling scaling,
       BooleanSupplier stopping) {
@@ -373,7 +373,7 @@
   }
 
   private void keepQuarantine(long now) {
-    keeper.keep(now).forEach(content -> takeBackCopies(content, now));
+    keeper.carryOutDue(now).forEach(content -> takeBackCopies(content, now));
   }
 
   /** Copies that still run elsewhere would crash their engines too. */
@@ -414,7 +414,7 @@
     }
     if (now - lastStageNanos >= STAGE_NANOS) {
       lastStageNanos = now;
-      log.droppedLines();
+      log.logDroppedLines();
       dispatcher.wantedStageChange(now).ifPresent(stageChanges);
       scaling.onTick(dispatcher.stages().leads(now), now);
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -88,12 +88,12 @@
   private final FollowCounts followCounts = new FollowCounts();
   private final List<NewsBell> bells = new CopyOnWriteArrayList<>();
   private final DutyThread<DispatchEvent> dispatch;
-  private final NodeEnd faults;
+  private final FatalFaultHandler faults;
   private final StageDuty stages;
   private final Optional<UsageDuty> usage;
   private final Optional<ScaleDuty> scaling;
   private final QuarantineDuty quarantine;
-  private final QuarantineKeeper keeper;
+  private final QuarantineActions keeper;
   private final RowFollower routingFollower;
   private final DecodedRows<ServingEngine> engineRows;
   private final RowFollower engineFollower;
@@ -121,14 +121,14 @@
       GatewaySettings settings,
       GatewayPlatform platform,
       ServerSocketChannel callerSocket,
-      ProcessEnd processEnd)
+      ProcessExit processEnd)
       throws Exception {
     this.settings = settings;
     this.platform = platform;
     this.state =
         new GatewayState(
             platform.callers(), MAX_BODY_BYTES_IN_FLIGHT, settings.bounds().keyLifetime());
-    this.faults = new NodeEnd(state, log, processEnd, new EndWork());
+    this.faults = new FatalFaultHandler(state, log, processEnd, new EndWork());
     threads.setName("gateway");
     this.server = new Server(threads);
     DispatchParameters parameters = settings.dispatchParameters();
@@ -158,7 +158,7 @@
     this.quarantine =
         new QuarantineDuty(platform.quarantine().create(engines.client()), this::tell, log);
     this.keeper =
-        new QuarantineKeeper(dispatcher, new EngineProbe(engines, this::tell), quarantine, log);
+        new QuarantineActions(dispatcher, new EngineProbe(engines, this::tell), quarantine, log);
     this.scaling = settings.duties().api().map(address -> newScaleDuty(duties, address));
     this.usage = settings.duties().usage().map(windows -> newUsageDuty(duties));
     DispatchDuty duty =
@@ -522,10 +522,10 @@
   }
 
   /** What is left to do where a duty cannot go on. */
-  private final class EndWork implements NodeEnd.Work {
+  private final class EndWork implements FatalFaultHandler.ShutdownSteps {
 
     @Override
-    public void giveUp() {
+    public void stopDuties() {
       dispatch.end();
       closeDuties();
     }
