--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CrashReportText.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CrashReportText.java
@@ -8,9 +8,10 @@
 import org.fallturn.core.quarantine.SeenCrash;
 
 /**
- * A crash report as a line of a message between nodes: fingerprint, ms since it was asked for,
- * confirmed and answered well, whether the store holds it, then, for each crash, the engine, the ms
- * since, and whether the engine is gone.
+ * Text form of a {@link CrashReport} in messages between nodes. Words separated by spaces: the
+ * fingerprint of the content; the ms since it was last requested, confirmed as crashing engines,
+ * and answered well; whether the store holds it; then, for each crash, engine id, ms since the
+ * crash, and whether the engine is gone, separated by colons.
  */
 final class CrashReportText {
 
@@ -34,10 +35,10 @@
   }
 
   /**
-   * Reads what {@link #write} wrote.
+   * Parses the text that {@link #write} produces.
    *
-   * @throws IllegalArgumentException when it is no report
-   * @throws IndexOutOfBoundsException when it is cut short
+   * @throws IllegalArgumentException when the text is not a crash report
+   * @throws IndexOutOfBoundsException when the text is truncated
    */
   static CrashReport read(String text) {
     String[] words = text.split(" ");
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
@@ -33,9 +33,10 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Writes one structured line for each decision: what was decided, from which inputs of which
- * version, with which outcome. Thread-safe; never blocks, since the appender drops what it cannot
- * take.
+ * Structured log of a gateway's decisions, one line each: what was decided, from which inputs of
+ * which version, and with which outcome. The metrics count each line. Most methods are named after
+ * the {@link LogEvent} that they write. Thread-safe; never blocks, since the log appender drops
+ * lines that its queue cannot take.
  */
 final class DecisionLog {
 
@@ -43,8 +44,8 @@
 
   private static final int PERCENT = 100;
 
-  /** Signs of a text of others in one line, so that lines stay short. */
-  private static final int LONGEST_FOREIGN_TEXT = 40;
+  /** Characters that a line quotes at most of a text from an engine, so that lines stay short. */
+  private static final int MAX_QUOTED_CHARACTERS = 40;
 
   private final GatewayMetrics metrics;
   private volatile long routingVersion;
@@ -60,7 +61,11 @@
     return line(event, "");
   }
 
-  /** A line, counted among the figures by a detail of a closed list. */
+  /**
+   * Starts a line and counts its event.
+   *
+   * @param detail label of the metric; must come from a closed list, or be empty
+   */
   private LoggingEventBuilder line(LogEvent event, String detail) {
     metrics.count(event, detail);
     return LOG.atInfo().setMessage("gateway").addKeyValue("event", event);
@@ -102,7 +107,7 @@
     line(LogEvent.STOPPED).addKeyValue("inFlight", inFlight).log();
   }
 
-  /** A sentence of its own, with the stack, for whoever reads only what is wrong. */
+  /** Logs an error with its own message and the stack trace, for those who read errors only. */
   void dutyFailed(String duty, Throwable fault, FaultAnswer answer) {
     metrics.count(LogEvent.DUTY_FAILED, duty);
     LOG.atError()
@@ -156,7 +161,7 @@
         .log();
   }
 
-  /** Says how many lines were dropped, if any; called now and then. */
+  /** Logs how many lines were dropped since the last call, if any; called periodically. */
   void logDroppedLines() {
     long count = LogSetup.takeDroppedLines();
     if (count > 0) {
@@ -262,7 +267,7 @@
   }
 
   private static String shortened(String text) {
-    return text.substring(0, Math.min(text.length(), LONGEST_FOREIGN_TEXT));
+    return text.substring(0, Math.min(text.length(), MAX_QUOTED_CHARACTERS));
   }
 
   void engineGone(String engineId) {
@@ -393,7 +398,12 @@
     }
   }
 
-  /** How much waits at this node now for room at an engine. */
+  /**
+   * Takes the load that waits at this node for room at an engine, for the metrics.
+   *
+   * @param count number of requests
+   * @param bytes their size in bytes
+   */
   void waiting(int count, long bytes) {
     waitingCount = count;
     waitingBytes = bytes;
@@ -445,7 +455,10 @@
         .addKeyValue("directoryRevision", directoryRevision);
   }
 
-  /** Where a prompt is cached is told by its last shared part. */
+  /**
+   * Returns the id of the prompt's last shared part, which identifies where the prompt is cached;
+   * empty when there is none.
+   */
   private static String sharedPart(Exchange exchange) {
     return exchange
         .envelope()
@@ -468,7 +481,7 @@
     line.log();
   }
 
-  /** The attempt is about to be given up; the line of its failure follows. */
+  /** Logs that an attempt is about to be abandoned; the line of its failure follows. */
   void stuck(Exchange exchange, EngineAttempt attempt, StuckReason reason) {
     line(LogEvent.STUCK, exchange, reason.name())
         .addKeyValue("engine", attempt.call().engine().id())
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DutyContext.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DutyContext.java
@@ -4,11 +4,11 @@
 import org.fallturn.core.stages.OrderLease;
 
 /**
- * What every duty has that one node carries out for all.
+ * What all duties share that only one node carries out for the whole fleet.
  *
- * @param lease the right to do so, one for all duties
+ * @param lease permits its holder to carry out these duties; one lease serves all of them
  * @param node name of this node
- * @param events the dispatch duty, which is told of each step
+ * @param events hands an event of each step to the dispatch duty
  * @param log the log of decisions
  */
 record DutyContext(
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineOrders.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineOrders.java
@@ -13,7 +13,10 @@
 import org.fallturn.core.routing.ServingEngine;
 import org.fallturn.node.json.MalformedMessageException;
 
-/** Reports and orders of model engines. Each call blocks its thread for a bounded time. */
+/**
+ * Client that asks model engines for their reports and sends them stage orders. Each call blocks
+ * its thread for a bounded time.
+ */
 final class EngineOrders {
 
   private static final long ORDER_TIMEOUT_MILLIS = 1_000;
@@ -24,7 +27,7 @@
     this.engines = engines;
   }
 
-  /** What the engine says of itself; empty when it does not answer or not readably. */
+  /** Asks for an engine's report; empty when no answer comes, or an error or unreadable one. */
   Optional<EngineReport> report(ServingEngine engine) throws InterruptedException {
     try {
       ContentResponse answer = engines.newReport(engine).send();
@@ -37,9 +40,9 @@
   }
 
   /**
-   * Gives an order.
+   * Sends an order.
    *
-   * @return the status of the answer; empty when none came, so that the order may have been taken
+   * @return HTTP status of the answer; empty when none came, so the engine may have taken the order
    */
   OptionalInt send(ServingEngine engine, StageOrder order) throws InterruptedException {
     EngineProtocol protocol = engines.protocol();
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
@@ -5,36 +5,37 @@
 import org.fallturn.node.duty.FaultListener;
 
 /**
- * Hears of each fault of the gateway's duties, and ends the node once one of them cannot go on.
- * Thread-safe. What is done first needs no memory: the node is no longer ready and takes nothing
- * more.
+ * Listener for the faults of the gateway's duties: logs each one, and shuts the node down once a
+ * duty cannot go on. Thread-safe. The first steps of the shutdown allocate no memory, which may be
+ * used up: the node stops being ready and refuses new requests.
  */
 final class FatalFaultHandler implements FaultListener {
 
   private final GatewayState state;
   private final DecisionLog log;
-  private final ProcessExit process;
-  private final ShutdownSteps work;
-  private final AtomicBoolean begun = new AtomicBoolean();
+  private final ProcessExit processExit;
+  private final ShutdownSteps steps;
+  private final AtomicBoolean shutdownBegun = new AtomicBoolean();
 
-  /** Made early, since a process without memory may not be able to. */
-  private final Thread thread = new Thread(this::run, "node-end");
+  /** Created early, since a process that has run out of memory may be unable to. */
+  private final Thread thread = new Thread(this::finishShutdown, "node-end");
 
-  /** What is done before the process ends. */
+  /** The steps of the shutdown before the process ends. */
   interface ShutdownSteps {
 
-    /** Gives up what is held; must not wait. */
+    /** Stops the duties and abandons what they hold; must not block. */
     void stopDuties();
 
-    /** Waits, within a bound, until the answers have reached their callers. */
+    /** Waits for a bounded time until the answers in flight have reached their callers. */
     void awaitAnswers() throws InterruptedException;
   }
 
-  FatalFaultHandler(GatewayState state, DecisionLog log, ProcessExit process, ShutdownSteps work) {
+  FatalFaultHandler(
+      GatewayState state, DecisionLog log, ProcessExit processExit, ShutdownSteps steps) {
     this.state = state;
     this.log = log;
-    this.process = process;
-    this.work = work;
+    this.processExit = processExit;
+    this.steps = steps;
     thread.setDaemon(true);
   }
 
@@ -47,29 +48,29 @@
       }
       log.dutyFailed(duty, fault, answer);
     } finally {
-      if (!answer.goesOn() && begun.compareAndSet(false, true)) {
-        begin();
+      if (!answer.goesOn() && shutdownBegun.compareAndSet(false, true)) {
+        beginShutdown();
       }
     }
   }
 
-  private void begin() {
+  private void beginShutdown() {
     try {
-      work.stopDuties();
+      steps.stopDuties();
       thread.start();
-    } catch (Throwable noThread) {
-      process.end(ProcessExit.DUTY_FAILED);
+    } catch (Throwable failure) {
+      processExit.exit(ProcessExit.DUTY_FAILED);
     }
   }
 
-  private void run() {
+  private void finishShutdown() {
     try {
-      work.awaitAnswers();
+      steps.awaitAnswers();
       log.stopped(state.inFlight());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      process.end(ProcessExit.DUTY_FAILED);
+      processExit.exit(ProcessExit.DUTY_FAILED);
     }
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayMetrics.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayMetrics.java
@@ -8,9 +8,10 @@
 import org.fallturn.core.dispatch.RefusalCause;
 
 /**
- * Figures of a gateway as Prometheus text: the decisions of the log by event and detail, latencies,
- * and gauges of what is believed. The labels are closed lists, so that their number is bounded.
- * Thread-safe. Written by hand, since the metrics library would lengthen a process's start.
+ * Metrics of a gateway in the Prometheus text format: counters of logged events by event and
+ * detail, counters of refusals by cause, latency histograms, and gauges of the node's present
+ * state. All labels come from closed lists, so that the number of series is bounded. Thread-safe.
+ * Written by hand, since the metrics library would lengthen a process's start.
  */
 final class GatewayMetrics {
 
@@ -31,39 +32,44 @@
   /**
    * Counts an event.
    *
-   * @param detail constant of a closed list, or empty
+   * @param detail label from a closed list, or empty
    */
   void count(LogEvent event, String detail) {
     String labels = "event=\"" + event + "\",detail=\"" + detail + "\"";
     events.computeIfAbsent(labels, key -> new LongAdder()).increment();
   }
 
-  /** Counts a request that was answered with an error of this node. */
+  /** Counts a request that this node itself answered with an error. */
   void refused(RefusalCause cause) {
     refusals.computeIfAbsent(cause, key -> new LongAdder()).increment();
   }
 
-  /** Time from a whole request to the first part of its answer. */
+  /** Records the time from the arrival of a whole request to the first part of its answer. */
   void firstPart(long nanos) {
     firstPart.record(nanos);
   }
 
-  /** Time from a whole request to its whole answer. */
+  /** Records the time from the arrival of a whole request to the end of its answer. */
   void whole(long nanos) {
     whole.record(nanos);
   }
 
-  /** Time that a request waited at this node for room at an engine. */
+  /** Records the time that a request waited at this node for room at an engine. */
   void waited(long nanos) {
     waited.record(nanos);
   }
 
-  /** Adds a figure that is read when it is asked for. */
+  /**
+   * Adds a gauge.
+   *
+   * @param name name without the prefix of all gauges
+   * @param value read each time the metrics are
+   */
   void gauge(String name, LongSupplier value) {
     gauges.put(GAUGE_PREFIX + name, value);
   }
 
-  /** Everything as text. */
+  /** Returns all metrics in the Prometheus text format. */
   String text() {
     StringBuilder text = new StringBuilder();
     text.append("# TYPE ").append(EVENTS).append(" counter\n");
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/JobThread.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/JobThread.java
@@ -6,59 +6,67 @@
 import org.fallturn.node.duty.FaultListener;
 
 /**
- * Carries out jobs on a thread of its own, one at a time, with a pause after one that failed. A job
- * that is offered meanwhile is dropped: whoever offers it decides anew soon. Thread-safe.
+ * Runs jobs on a thread of its own, one at a time, with a pause after one that failed. Drops a job
+ * that is offered meanwhile, since its caller decides again soon what to offer. Thread-safe.
  *
- * @param <T> what a job is about
+ * @param <T> subject of a job
  */
 final class JobThread<T> implements AutoCloseable {
 
   private final Job<T> job;
-  private final BlockingQueue<T> next = new ArrayBlockingQueue<>(1);
+  private final BlockingQueue<T> queue = new ArrayBlockingQueue<>(1);
   private final DutyLoop loop;
   private volatile boolean working;
   private volatile long notBeforeNanos = System.nanoTime();
 
-  /** What is done with each. */
+  /** Processes one subject. */
   @FunctionalInterface
   interface Job<T> {
 
-    /** Carries one out; may block. */
+    /** Runs the job; may block. */
     void carryOut(T subject) throws InterruptedException;
   }
 
-  /** A thread that has not begun. */
+  /**
+   * A thread that has not started.
+   *
+   * @param name name of the thread and of the duty
+   */
   JobThread(String name, Job<T> job) {
     this.job = job;
     this.loop = new DutyLoop(name, this::work);
   }
 
   /**
-   * Begins.
+   * Starts the thread.
    *
-   * @param faults hears of jobs that failed
+   * @param faults receives what a job throws
    */
   void start(FaultListener faults) {
     loop.start(faults);
   }
 
-  /** Hands a job over; dropped while another is under way or during a pause. */
+  /** Offers a job; it is dropped while another one runs or during a pause. */
   void offer(T subject) {
     if (!working && System.nanoTime() - notBeforeNanos >= 0) {
-      next.offer(subject);
+      queue.offer(subject);
     }
   }
 
-  /** No job is taken for so long. */
+  /**
+   * Drops all offers for a time.
+   *
+   * @param nanos length of the pause in ns
+   */
   void pause(long nanos) {
     notBeforeNanos = System.nanoTime() + nanos;
   }
 
-  /** Begun anew after a job that failed, until when it counts as under way. */
+  /** The loop calls this again after a job that threw, which counts as running until then. */
   private void work() throws InterruptedException {
     working = false;
     while (true) {
-      T subject = next.take();
+      T subject = queue.take();
       working = true;
       job.carryOut(subject);
       working = false;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/LogEvent.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/LogEvent.java
@@ -1,105 +1,108 @@
 package org.fallturn.node.gateway;
 
-/** The closed list of events that a gateway logs; docs/operations/logs.md has their fields. */
+/**
+ * The closed list of events that a gateway logs; docs/operations/logs.md has their fields. The
+ * detail of an event is a label of the metric that counts it.
+ */
 public enum LogEvent {
   /** The process began to serve its ports. */
   STARTED,
-  /** The figures cannot be served at their address. */
+  /** The metrics cannot be served at their address. */
   METRICS_REFUSED,
   /** A planned stop began. */
   STOPPING,
   /** The process ends. */
   STOPPED,
-  /** A duty failed, and goes on or ends the node; which duty is the detail. */
+  /** A duty failed, and either goes on or ends the node; the detail is the name of the duty. */
   DUTY_FAILED,
-  /** A request is given up, since a duty of this node cannot go on. */
+  /** This node abandons a request, because one of its duties cannot go on. */
   GIVEN_UP,
-  /** The settings were read again. */
+  /** The settings were reloaded. */
   SETTINGS_RELOADED,
-  /** The settings could not be read again; the old ones stay. */
+  /** The settings could not be reloaded; the old ones stay in force. */
   SETTINGS_REFUSED,
-  /** Lines were dropped, since they came faster than they were read. */
+  /** Log lines were dropped, because they were written faster than they were read. */
   LINES_DROPPED,
-  /** The store answers again. */
+  /** A dependency, such as the store, answers again. */
   DEPENDENCY_REGAINED,
-  /** The store does not answer. */
+  /** A dependency, such as the store, does not answer. */
   DEPENDENCY_LOST,
-  /** The rows of a table come from other nodes, or from the store, from now on. */
+  /** This node now reads a table from other nodes instead of the store, or the reverse. */
   SOURCE_CHANGED,
-  /** A table was learned from another node. */
+  /** This node received a table from another node. */
   LEARNED_FROM_PEER,
-  /** An engine said which parts it keeps, or did not answer. */
+  /** An engine listed the prompt parts in its cache, or did not answer. */
   CACHE_LISTED,
-  /** No other node could tell a table. */
+  /** No other node could provide a table. */
   NO_PEER_KNOWS,
-  /** The store has dropped changes that were not read yet. */
+  /** The store has dropped changes of a table that this node had not read yet. */
   HISTORY_LOST,
-  /** A version of routes and services is in force here. */
+  /** A version of the routes and services came into force at this node. */
   ROUTING_CHANGED,
   /** The list of engines changed. */
   ENGINES_CHANGED,
-  /** This node avoids an engine from now on. */
+  /** This node stops using an engine. */
   ENGINE_SUSPENDED,
-  /** This node uses an engine again. */
+  /** This node uses a suspended engine again. */
   ENGINE_RESUMED,
-  /** An engine is found to leave; how that was learned is the detail. */
+  /** This node found that an engine is leaving; the detail is the source of this notice. */
   ENGINE_LEAVES,
-  /** An engine wants nothing from this node for a time. */
+  /** An engine asked this node to send nothing for a time. */
   ENGINE_RESTS,
-  /** An engine takes only so many requests a second from all nodes together. */
+  /** An engine limits the requests per second that it takes from all nodes together. */
   ENGINE_LIMITED,
-  /** An engine that took only so many requests takes any number again. */
+  /** An engine with a limit on requests per second takes any number again. */
   ENGINE_LIMIT_ENDED,
-  /** An engine is slower or faster than the others of its service, or no more; the detail. */
+  /** An engine became slower or faster than its service, or usual; the detail says which. */
   ENGINE_PACE,
-  /** What an engine said of its rest, limit or load is no number and is passed over. */
+  /** An engine's notice of its rest, limit or load is not a number, and is ignored. */
   NOTICE_REFUSED,
-  /** An engine's answer bears a header that this build does not know; once a name. */
+  /** An engine's answer has a header that this build does not know; logged once per header name. */
   HEADER_UNKNOWN,
-  /** An engine that seemed to crash was asked, and is gone. */
+  /** A probe of an engine that seemed to crash found that it is gone. */
   ENGINE_GONE,
-  /** Engines have crashed under a content, or nothing speaks against it any more. */
+  /** A content's quarantine status changed: engines crashed under it, or it was cleared. */
   STANDING_CHANGED,
-  /** A content in quarantine was written to the store, or taken from it, or could not be. */
+  /** A suspect or quarantined content was written to the store or removed, or could not be. */
   QUARANTINE_STORED,
-  /** An engine was ordered to take another stage. */
+  /** This node ordered an engine to change its stage. */
   STAGE_ORDERED,
-  /** An engine was not ordered to take another stage after all. */
+  /** This node abandoned a planned stage change before it sent the order. */
   STAGE_CHANGE_ABANDONED,
-  /** The usage of a window was reported to the platform. */
+  /** This node reported the usage of a window to the platform. */
   USAGE_REPORTED,
-  /** The usage of a window could not be reported yet. */
+  /** This node could not report the usage of a window yet. */
   USAGE_NOT_REPORTED,
-  /** Engines were ordered from the platform. */
+  /** This node ordered engines from the platform. */
   SCALE_ORDERED,
-  /** What this node, which orders the stages, goes by. */
+  /** The load on which this node, which leads the stages, bases its stage orders. */
   STAGE_OUTLOOK,
-  /** A row of the store could not be read and is left out. */
+  /** A row of the store could not be parsed and is left out. */
   ROW_REFUSED,
   /** A request was refused before it reached the dispatcher. */
   REFUSED_AT_DOOR,
   /** A request waits at this node until an engine has room for it. */
   WAITING,
-  /** A request need not wait any longer, or may not; the next line says what is next for it. */
+  /** A request's wait ended, with room or without; the next line says what happens to it. */
   WAITED,
-  /** A request is sent to an engine. */
+  /** This node places a request on an engine. */
   PLACED,
-  /** A request is answered with an error of this node. */
+  /** This node itself answers a request with an error. */
   REFUSED,
-  /** An engine has read the prompt of a request ahead. */
+  /** An engine finished the prefill of a request. */
   PREFILLED,
-  /** The first part of an answer was passed on. */
+  /** This node forwarded the first part of an answer to the caller. */
   BEGAN,
-  /** An attempt is given up, since its engine or connection does not answer. */
+  /** This node abandons an attempt, because its engine or connection does not answer. */
   STUCK,
   /** An attempt at an engine failed. */
   ATTEMPT_FAILED,
-  /** The failure that an engine answered with is passed on. */
+  /** This node forwards an engine's failure to the caller. */
   FAILURE_PASSED,
-  /** An answer was passed on whole. */
+  /** This node forwarded a whole answer to the caller. */
   FINISHED,
-  /** The caller left before its answer was whole. */
+  /** The caller disconnected before its answer was complete. */
   CALLER_GONE,
-  /** The time of a request was over before its answer was whole. */
+  /** The deadline of a request passed before its answer was complete. */
   TIME_OVER
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/MetricsPort.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/MetricsPort.java
@@ -11,7 +11,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.node.http.HttpListener;
 
-/** The port at which the figures are read. */
+/** HTTP handler that serves the metrics at a port of its own. */
 final class MetricsPort extends Handler.Abstract.NonBlocking {
 
   private static final int THREADS = 4;
@@ -24,7 +24,7 @@
     this.metrics = metrics;
   }
 
-  /** Binds the port and answers from then on. */
+  /** Binds the port and serves the metrics from then on. */
   static HttpListener open(NetworkAddress address, GatewayMetrics metrics) throws Exception {
     return new HttpListener("metrics", address, THREADS, new MetricsPort(metrics));
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineActions.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineActions.java
@@ -8,34 +8,38 @@
 import org.fallturn.core.quarantine.RequestFingerprint;
 
 /**
- * Carries out what the quarantine asks for: engines are probed, the store is written, changes are
- * logged. Only the dispatch thread calls, but for the count.
+ * Carries out what the quarantine asks for: probes engines, has the store written, and logs
+ * changes. Only the dispatch thread calls, except for {@link #quarantined()}.
  */
 final class QuarantineActions {
 
   private final Dispatcher dispatcher;
   private final EngineProbe probe;
-  private final QuarantineDuty store;
+  private final QuarantineDuty storeDuty;
   private final DecisionLog log;
   private volatile int quarantined;
 
   QuarantineActions(
-      Dispatcher dispatcher, EngineProbe probe, QuarantineDuty store, DecisionLog log) {
+      Dispatcher dispatcher, EngineProbe probe, QuarantineDuty storeDuty, DecisionLog log) {
     this.dispatcher = dispatcher;
     this.probe = probe;
-    this.store = store;
+    this.storeDuty = storeDuty;
     this.log = log;
   }
 
-  /** Carries out what is due, and gives the contents that have come into quarantine since. */
+  /**
+   * Carries out what is due.
+   *
+   * @return contents that came into quarantine since the last call
+   */
   List<RequestFingerprint> carryOutDue(long nowNanos) {
     Quarantine quarantine = dispatcher.quarantine();
     for (String engineId : quarantine.takeProbes(nowNanos)) {
       dispatcher.engine(engineId).ifPresent(probe::ask);
     }
-    quarantine.takeUnstored(nowNanos).forEach(store::put);
-    quarantine.takeUnstoredSuspects().forEach(store::putSuspect);
-    quarantine.takeReleased().forEach(store::remove);
+    quarantine.takeUnstored(nowNanos).forEach(storeDuty::put);
+    quarantine.takeUnstoredSuspects().forEach(storeDuty::putSuspect);
+    quarantine.takeReleased().forEach(storeDuty::remove);
     quarantined = quarantine.quarantined();
     List<RequestFingerprint> added = new ArrayList<>();
     for (QuarantineStatusChange change : quarantine.takeChanges()) {
@@ -47,13 +51,13 @@
     return added;
   }
 
-  /** An engine was found to be gone. */
+  /** Logs that a probe found an engine to be gone, and records it in the quarantine. */
   void onEngineGone(String engineId, long nowNanos) {
     log.engineGone(engineId);
     dispatcher.quarantine().onEngineGone(engineId, nowNanos);
   }
 
-  /** How many contents are in quarantine; any thread may call. */
+  /** Returns how many contents are in quarantine; any thread may call. */
   int quarantined() {
     return quarantined;
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineDuty.java
@@ -14,18 +14,19 @@
 import org.fallturn.node.duty.FaultListener;
 
 /**
- * The duty that keeps contents in quarantine, and those under suspicion, in the store, on a thread
- * of its own: reads them once after the start, and writes what the dispatch duty hands over. No
- * send waits for it: a store that is away would else stop requests, and what is lost with a process
- * that ends meanwhile is what it alone had counted. What the store does not take is tried again;
- * what does not fit into the queue is handed over again later, where it is in quarantine.
+ * The duty that stores the contents in quarantine and those under suspicion, on a thread of its
+ * own. It reads them once after the start, and writes what the dispatch duty hands over.
+ *
+ * <p>No request waits for a write, since an unavailable store would then stop requests. A process
+ * that ends before a write loses only what it alone had counted. The duty retries a failed write; a
+ * quarantined content that does not fit into the queue is handed over again later.
  */
 final class QuarantineDuty implements AutoCloseable {
 
   private static final int QUEUE_SIZE = 64;
 
-  /** First pause after a failure; doubled up to the longest, as each call has its price. */
-  private static final long PAUSE_MILLIS = 200;
+  /** First pause after a failure; doubles up to the longest, since each call has its price. */
+  private static final long FIRST_PAUSE_MILLIS = 200;
 
   private static final long LONGEST_PAUSE_MILLIS = 2_000;
 
@@ -34,13 +35,18 @@
   private final DecisionLog log;
   private final BlockingQueue<Write> writes = new ArrayBlockingQueue<>(QUEUE_SIZE);
   private final DutyLoop loop = new DutyLoop("quarantine", this::work);
-  private boolean recalled;
-  private long pauseMillis = PAUSE_MILLIS;
+  private boolean loaded;
+  private long pauseMillis = FIRST_PAUSE_MILLIS;
 
-  /** A content that the store is to hold, or no longer; with engines, as under suspicion. */
+  /**
+   * A write to the store.
+   *
+   * @param held whether the store is to hold the content, or to remove it
+   * @param engines engines that crashed under a suspected content; empty for one in quarantine
+   */
   private record Write(RequestFingerprint content, boolean held, Set<String> engines) {}
 
-  /** One call to the store. */
+  /** A call to the store that may fail. */
   @FunctionalInterface
   private interface StoreCall {
 
@@ -48,9 +54,9 @@
   }
 
   /**
-   * A duty that has not begun.
+   * A duty that has not started.
    *
-   * @param events told of what the store holds
+   * @param events hands to the dispatch duty what the store holds
    */
   QuarantineDuty(QuarantineStore store, Consumer<DispatchEvent> events, DecisionLog log) {
     this.store = store;
@@ -59,25 +65,25 @@
   }
 
   /**
-   * Begins.
+   * Starts the thread.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives what the duty does not catch
    */
   void start(FaultListener faults) {
     loop.start(faults);
   }
 
-  /** The store is to hold a content in quarantine. */
+  /** Queues a write that stores a content as quarantined. */
   void put(RequestFingerprint content) {
     offer(new Write(content, true, Set.of()));
   }
 
-  /** The store is to hold a content under suspicion. */
+  /** Queues a write that stores a content as suspected of crashing these engines. */
   void putSuspect(RequestFingerprint content, Set<String> engines) {
     offer(new Write(content, true, engines));
   }
 
-  /** The store is to hold a content no longer. */
+  /** Queues the removal of a content from the store. */
   void remove(RequestFingerprint content) {
     offer(new Write(content, false, Set.of()));
   }
@@ -92,20 +98,20 @@
     }
   }
 
-  /** Begun anew after a fault; the write that failed is handed over again later. */
+  /** The loop calls this again after a fault; the write that failed is handed over later. */
   private void work() throws InterruptedException {
-    if (!recalled) {
-      untilDone("quarantine", this::recall);
-      recalled = true;
+    if (!loaded) {
+      retryUntilDone("quarantine", this::load);
+      loaded = true;
     }
     while (true) {
       Write write = writes.take();
-      untilDone("quarantine", () -> carryOut(write));
+      retryUntilDone("quarantine", () -> carryOut(write));
     }
   }
 
-  private void untilDone(String name, StoreCall call) throws InterruptedException {
-    pauseMillis = PAUSE_MILLIS;
+  private void retryUntilDone(String name, StoreCall call) throws InterruptedException {
+    pauseMillis = FIRST_PAUSE_MILLIS;
     boolean lost = false;
     while (true) {
       try {
@@ -126,10 +132,11 @@
   }
 
   /**
-   * Rows that nobody has renewed for a lifetime are removed by whoever starts next. A content may
-   * have one of each kind; both go at once.
+   * Reads what the store holds, and removes the rows that no node has renewed for a lifetime; each
+   * node does so at its start. A content may have a row as quarantined and one as suspected. A
+   * removal deletes both, so a content with one row that still counts is not removed.
    */
-  private void recall() throws StoreException {
+  private void load() throws StoreException {
     Set<RequestFingerprint> live = new HashSet<>();
     Set<RequestFingerprint> lapsed = new HashSet<>();
     for (QuarantineStore.StoredContent held : store.read()) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/ReadinessPort.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/ReadinessPort.java
@@ -9,7 +9,10 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.node.http.HttpListener;
 
-/** The port at which the platform asks whether callers should be sent here. */
+/**
+ * HTTP handler at a port of its own, where the platform asks whether it should send callers to this
+ * node.
+ */
 final class ReadinessPort extends Handler.Abstract.NonBlocking {
 
   private static final int THREADS = 4;
@@ -22,7 +25,11 @@
     this.gateway = gateway;
   }
 
-  /** Binds the port and answers from then on. */
+  /**
+   * Binds the port and answers from then on.
+   *
+   * @param path path of the readiness check; any other is answered with 404
+   */
   static HttpListener open(NetworkAddress address, String path, GatewayState gateway)
       throws Exception {
     return new HttpListener("readiness", address, THREADS, new ReadinessPort(path, gateway));
@@ -35,8 +42,8 @@
     return true;
   }
 
-  private int status(String asked) {
-    if (!asked.equals(path)) {
+  private int status(String requestedPath) {
+    if (!requestedPath.equals(path)) {
       return HttpStatus.NOT_FOUND_404;
     }
     return gateway.ready() ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/ReloadSignal.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/ReloadSignal.java
@@ -7,9 +7,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes SIGHUP as a wish to read the settings again; without it the Java runtime would end the
- * process. The runtime's signal classes are supported but not part of the Java platform, and are
- * therefore reached by reflection.
+ * Reloads the settings on SIGHUP; without a handler of this signal the Java runtime would end the
+ * process. The signal classes are supported by the runtime but not part of the Java platform, so
+ * this class calls them by reflection.
  */
 final class ReloadSignal {
 
@@ -20,7 +20,11 @@
 
   private ReloadSignal() {}
 
-  /** Calls back on a thread of the runtime at each SIGHUP. */
+  /**
+   * Installs the handler.
+   *
+   * @param reload runs on a thread of the Java runtime at each SIGHUP
+   */
   static void onSignal(Runnable reload) {
     try {
       Class<?> signalClass = Class.forName(SIGNAL_CLASS);
@@ -30,7 +34,7 @@
           Proxy.newProxyInstance(
               ReloadSignal.class.getClassLoader(),
               new Class<?>[] {handlerClass},
-              new Reload(reload));
+              new ReloadHandler(reload));
       Method handle = signalClass.getMethod("handle", signalClass, handlerClass);
       handle.invoke(null, signal, handler);
     } catch (ReflectiveOperationException | IllegalArgumentException e) {
@@ -38,8 +42,8 @@
     }
   }
 
-  /** The one method of a signal handler, and those that every object has. */
-  private record Reload(Runnable reload) implements InvocationHandler {
+  /** Implements the one method of a signal handler, and those of {@link Object}. */
+  private record ReloadHandler(Runnable reload) implements InvocationHandler {
 
     @Override
     public Object invoke(Object proxy, Method method, Object[] arguments) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RequestTimeline.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RequestTimeline.java
@@ -17,15 +17,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Reads log lines of gateways and tells what happened to one request, in time order, with what each
- * process that touched it believed when it first did: the last change of routes and engines before,
- * and each lost or regained dependency. Where its content is suspected of crashes, what is logged
- * of the content under any id is told too. What stands before the object in a line is taken as the
- * name of the process, or else the file's name.
+ * Timeline of one request from the structured logs of gateways: the lines about the request in time
+ * order, with the state that each process involved had at the time. The state of a process is the
+ * last line of each kind before the request, such as changes of routes, engines and dependencies,
+ * and all such lines until the request's last one. Where the request's content is suspected of
+ * crashes, the timeline includes the lines about the content under any request id. A line's process
+ * is the last word before its JSON object, or else the name of the file.
  */
 public final class RequestTimeline {
 
-  private static final Set<String> BELIEFS =
+  private static final Set<String> STATE_EVENTS =
       Set.of(
           LogEvent.ROUTING_CHANGED.name(),
           LogEvent.ENGINES_CHANGED.name(),
@@ -49,19 +50,25 @@
 
   private RequestTimeline() {}
 
-  /** One line of a log. */
+  /**
+   * One line of a log.
+   *
+   * @param process name of the process that wrote it
+   * @param timeNanos Unix time in ns
+   * @param fields its fields by name
+   */
   private record Line(String process, long timeNanos, Map<String, String> fields) {
 
     String event() {
       return fields.getOrDefault(EVENT, "");
     }
 
-    /** What the line tells of, so that a later one takes its place. */
+    /** Returns what the line is about; a later line about the same subject replaces it. */
     String subject() {
       return process + event() + fields.getOrDefault(ENGINE, "");
     }
 
-    /** Whether what the line tells is true still; only an engine's rest ends by itself. */
+    /** Returns whether the state still holds at a time; only an engine's rest ends by itself. */
     boolean holdsAt(long nanos) {
       String rest = fields.get(REST_MILLIS);
       return rest == null || nanos - timeNanos < Long.parseLong(rest) * NANOS_PER_MILLI;
@@ -79,11 +86,11 @@
   }
 
   /**
-   * Tells the story.
+   * Builds the timeline of a request.
    *
-   * @param files logs, one a process or of several
+   * @param files logs, each of one process or of several
    * @param request id of the request
-   * @return its lines; empty when no line names the request
+   * @return the lines of the timeline; empty when no line names the request
    */
   public static List<String> of(List<Path> files, String request) throws IOException {
     List<Line> lines = new ArrayList<>();
@@ -99,11 +106,11 @@
     long begin = own.get(0).timeNanos();
     long end = own.get(own.size() - 1).timeNanos();
     Set<String> processes = own.stream().map(Line::process).collect(Collectors.toSet());
-    List<Line> story = new ArrayList<>(own);
-    story.addAll(ofSameContent(lines, own));
-    story.addAll(beliefs(lines, processes, begin, end));
-    story.sort(Comparator.comparingLong(Line::timeNanos));
-    return story.stream().map(line -> line.text(begin)).toList();
+    List<Line> timeline = new ArrayList<>(own);
+    timeline.addAll(ofSameContent(lines, own));
+    timeline.addAll(stateLines(lines, processes, begin, end));
+    timeline.sort(Comparator.comparingLong(Line::timeNanos));
+    return timeline.stream().map(line -> line.text(begin)).toList();
   }
 
   private static List<Line> ofSameContent(List<Line> lines, List<Line> own) {
@@ -117,14 +124,18 @@
         .toList();
   }
 
-  /** The last line of each kind before the request, and all while it was served. */
-  private static List<Line> beliefs(List<Line> lines, Set<String> processes, long begin, long end) {
+  /**
+   * Returns the state lines of these processes: the last line about each subject before the
+   * request, and all while it was served.
+   */
+  private static List<Line> stateLines(
+      List<Line> lines, Set<String> processes, long begin, long end) {
     List<Line> kept = new ArrayList<>();
     Set<String> seenBefore = new HashSet<>();
     for (int index = lines.size() - 1; index >= 0; index--) {
       Line line = lines.get(index);
-      boolean belief = BELIEFS.contains(line.event()) && processes.contains(line.process());
-      if (!belief || line.timeNanos() > end) {
+      boolean isState = STATE_EVENTS.contains(line.event()) && processes.contains(line.process());
+      if (!isState || line.timeNanos() > end) {
         continue;
       }
       if (line.timeNanos() >= begin || line.holdsAt(begin) && seenBefore.add(line.subject())) {
@@ -147,7 +158,7 @@
     }
   }
 
-  /** Lines that are no object, or bear no fields, are somebody else's. */
+  /** Skips lines that are no JSON object or have no fields, since other programs wrote them. */
   private static void parse(String before, String object, Path file, List<Line> lines) {
     JsonNode node;
     try {
@@ -162,9 +173,9 @@
     Map<String, String> fields = new TreeMap<>();
     pairs.forEach(
         pair -> pair.properties().forEach(f -> fields.put(f.getKey(), f.getValue().asText())));
-    String[] words = before.strip().split("\\s+");
-    String last = words[words.length - 1];
-    String process = last.isEmpty() ? file.getFileName().toString() : last;
+    String[] wordsBefore = before.strip().split("\\s+");
+    String lastWord = wordsBefore[wordsBefore.length - 1];
+    String process = lastWord.isEmpty() ? file.getFileName().toString() : lastWord;
     long nanos = node.path("timestamp").asLong() * NANOS_PER_MILLI;
     nanos += node.path("nanoseconds").asLong() % NANOS_PER_MILLI;
     lines.add(new Line(process, nanos, fields));
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/ScaleDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/ScaleDuty.java
@@ -13,47 +13,47 @@
 /**
  * The duty that orders engines from the platform, one order at a time, on a thread of its own.
  *
- * <p>Invariant: an order is sent only while the lease is held, which is asked right before. The
- * dispatch duty is told what became of it.
+ * <p>Invariant: the duty sends an order only while this node holds the lease, which it checks right
+ * before. It hands the outcome to the dispatch duty.
  */
 final class ScaleDuty implements AutoCloseable {
 
-  /** Calls have their price, and an engine takes seconds to start. */
+  /** A retry can wait: each call has its price, and an engine takes seconds to start. */
   private static final long PAUSE_AFTER_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
   private final DutyContext duty;
-  private final InitialCountsStore standing;
+  private final InitialCountsStore initialCounts;
   private final ScaleApi api;
   private final JobThread<ScaleAction> jobs = new JobThread<>("scaling", this::carryOut);
 
-  /** A duty that has not begun. */
-  ScaleDuty(DutyContext duty, InitialCountsStore standing, ScaleApi api) {
+  /** A duty that has not started. */
+  ScaleDuty(DutyContext duty, InitialCountsStore initialCounts, ScaleApi api) {
     this.duty = duty;
-    this.standing = standing;
+    this.initialCounts = initialCounts;
     this.api = api;
   }
 
   /**
-   * Begins.
+   * Starts the thread.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives what the duty does not catch
    */
   void start(FaultListener faults) {
     jobs.start(faults);
   }
 
-  /** Hands a wish over; dropped while another is under way or right after a failure. */
-  void offer(ScaleAction wish) {
-    jobs.offer(wish);
+  /** Offers an action; it is dropped while another one runs or right after a failure. */
+  void offer(ScaleAction action) {
+    jobs.offer(action);
   }
 
-  private void carryOut(ScaleAction wish) throws InterruptedException {
+  private void carryOut(ScaleAction action) throws InterruptedException {
     try {
-      if (wish instanceof ScaleAction.RecordInitialCounts fix) {
-        Map<String, Integer> fixed = standing.fix(fix.service(), fix.observed());
-        duty.events().accept(new DispatchEvent.InitialCountsKnown(fix.service(), fixed));
-      } else if (wish instanceof ScaleAction.SendOrder give) {
-        give(give.order());
+      if (action instanceof ScaleAction.RecordInitialCounts counts) {
+        Map<String, Integer> fixed = initialCounts.fix(counts.service(), counts.observed());
+        duty.events().accept(new DispatchEvent.InitialCountsKnown(counts.service(), fixed));
+      } else if (action instanceof ScaleAction.SendOrder send) {
+        send(send.order());
       }
     } catch (StoreException e) {
       duty.log().dependencyLost("scaling", e);
@@ -62,7 +62,7 @@
     }
   }
 
-  private void give(ScaleOrder order) throws StoreException, InterruptedException {
+  private void send(ScaleOrder order) throws StoreException, InterruptedException {
     if (!duty.lease().take() || !duty.lease().held()) {
       jobs.pause(PAUSE_AFTER_FAILURE_NANOS);
       return;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/Scaling.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/Scaling.java
@@ -13,30 +13,30 @@
 import org.fallturn.core.usage.DutyOutcome;
 
 /**
- * The dispatch duty's part in ordering engines: plans only while this node leads, has done so for a
- * while, and knows the list of engines to be new. Only the dispatch thread calls.
+ * The part of engine scaling that runs on the dispatch thread, the only one that may call. It plans
+ * only while this node leads, has led for a while, and has a fresh list of engines.
  */
 final class Scaling {
 
-  /** A node that has just started takes itself for the leader until it hears of others. */
-  private static final long LEADS_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+  /** A node that has just started takes itself for the leader until it hears of other nodes. */
+  private static final long MIN_LEADING_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
   private final ScaleControl control;
-  private final BooleanSupplier listIsNew;
-  private final Consumer<ScaleAction> wishes;
+  private final BooleanSupplier listIsFresh;
+  private final Consumer<ScaleAction> actions;
   private boolean led;
   private long leadsSinceNanos;
 
   /**
    * Scaling that has ordered nothing.
    *
-   * @param listIsNew whether the list of engines was confirmed lately
-   * @param wishes takes what is to be done, over and over until it was answered
+   * @param listIsFresh whether the list of engines was confirmed recently
+   * @param actions takes the next action, again at each tick until its answer arrives
    */
-  Scaling(ScaleControl control, BooleanSupplier listIsNew, Consumer<ScaleAction> wishes) {
+  Scaling(ScaleControl control, BooleanSupplier listIsFresh, Consumer<ScaleAction> actions) {
     this.control = control;
-    this.listIsNew = listIsNew;
-    this.wishes = wishes;
+    this.listIsFresh = listIsFresh;
+    this.actions = actions;
   }
 
   void setDirectory(EngineDirectory directory) {
@@ -60,8 +60,8 @@
       leadsSinceNanos = nowNanos;
     }
     led = leads;
-    if (leads && nowNanos - leadsSinceNanos >= LEADS_NANOS && listIsNew.getAsBoolean()) {
-      control.wanted(nowNanos).ifPresent(wishes);
+    if (leads && nowNanos - leadsSinceNanos >= MIN_LEADING_NANOS && listIsFresh.getAsBoolean()) {
+      control.wanted(nowNanos).ifPresent(actions);
     }
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/SettingsWatch.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/SettingsWatch.java
@@ -12,8 +12,8 @@
 import org.fallturn.node.settings.SettingsException;
 
 /**
- * The duty that reads the settings file again, on SIGHUP or when its text has changed. A file with
- * a mistake changes nothing: the mistakes are logged and the old settings stay in force.
+ * The duty that reloads the settings file, on SIGHUP or when its text has changed. A file with a
+ * mistake changes nothing: the duty logs the mistakes and the old settings stay in force.
  */
 final class SettingsWatch implements AutoCloseable {
 
@@ -22,14 +22,14 @@
   private final Path file;
   private final Consumer<GatewaySettings> changed;
   private final DecisionLog log;
-  private final Semaphore wishes = new Semaphore(0);
+  private final Semaphore reloadRequests = new Semaphore(0);
   private final DutyLoop loop = new DutyLoop("settings", this::watch);
   private String lastText = "";
 
   /**
-   * A watch that has not begun.
+   * A watch that has not started.
    *
-   * @param changed told of settings without mistakes, on the watch's thread
+   * @param changed takes settings without mistakes, on the watch's thread
    */
   SettingsWatch(Path file, Consumer<GatewaySettings> changed, DecisionLog log) {
     this.file = file;
@@ -38,30 +38,36 @@
   }
 
   /**
-   * Begins.
+   * Starts the thread.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives what the duty does not catch
    */
   void start(FaultListener faults) {
     lastText = text();
-    ReloadSignal.onSignal(wishes::release);
+    ReloadSignal.onSignal(reloadRequests::release);
     loop.start(faults);
   }
 
-  /** Begun anew after a fault; settings that were not taken then still count as changed. */
+  /**
+   * The loop calls this again after a fault. Settings that were not taken because of it still count
+   * as changed.
+   */
   private void watch() throws InterruptedException {
     while (true) {
-      boolean asked = wishes.tryAcquire(CHECK_SECONDS, TimeUnit.SECONDS);
-      wishes.drainPermits();
+      boolean requested = reloadRequests.tryAcquire(CHECK_SECONDS, TimeUnit.SECONDS);
+      reloadRequests.drainPermits();
       String text = text();
-      if (asked || !text.equals(lastText)) {
+      if (requested || !text.equals(lastText)) {
         reload(text);
         lastText = text;
       }
     }
   }
 
-  /** A file that cannot be read counts as unchanged, since the platform may be replacing it. */
+  /**
+   * Returns the text of the file. A file that cannot be read counts as unchanged, since the
+   * platform may be replacing it.
+   */
   private String text() {
     try {
       return Files.readString(file);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/StageDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/StageDuty.java
@@ -10,20 +10,24 @@
 import org.fallturn.node.duty.FaultListener;
 
 /**
- * The duty that orders engines to change their stage, one at a time, on a thread of its own: takes
- * the lease, lets the other nodes know, asks the engine how it stands and sends the order.
+ * The duty that orders engines to change their stage, one at a time, on a thread of its own. It
+ * takes the lease, waits until the other nodes know of the change, asks the engine for its report,
+ * and sends the order.
  *
- * <p>Invariant: an order is sent only while the lease is held, which is asked right before. The
- * dispatch duty is told of each step.
+ * <p>Invariant: the duty sends an order only while this node holds the lease, which it checks right
+ * before. It hands an event of each step to the dispatch duty.
  */
 final class StageDuty implements AutoCloseable {
 
-  /** In which the other nodes hear that the engine is to be left alone. */
-  private static final long TELL_PEERS_MILLIS = 150;
+  /** Time within which the other nodes hear that they are to send the engine nothing. */
+  private static final long NOTIFY_PEERS_MILLIS = 150;
 
   private static final long PAUSE_AFTER_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** Another node has ordered with a higher number: it goes on, and this one keeps still. */
+  /**
+   * Pause after an engine has refused an order because another node's had a higher fencing token:
+   * that node goes on ordering, and this one stops for a while.
+   */
   private static final long PAUSE_AFTER_FENCED_NANOS = TimeUnit.SECONDS.toNanos(10);
 
   private final DutyContext duty;
@@ -31,22 +35,22 @@
   private final JobThread<StageChange> jobs = new JobThread<>("stages", this::carryOut);
   private final AtomicInteger abandoned = new AtomicInteger();
 
-  /** A duty that has not begun. */
+  /** A duty that has not started. */
   StageDuty(DutyContext duty, EngineOrders orders) {
     this.duty = duty;
     this.orders = orders;
   }
 
   /**
-   * Begins.
+   * Starts the thread.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives what the duty does not catch
    */
   void start(FaultListener faults) {
     jobs.start(faults);
   }
 
-  /** Hands a change over; dropped while another is under way or right after a failure. */
+  /** Offers a change; it is dropped while another one runs or right after a failure. */
   void offer(StageChange change) {
     jobs.offer(change);
   }
@@ -57,7 +61,7 @@
       return;
     }
     duty.events().accept(new DispatchEvent.StageChangeBegun(change));
-    TimeUnit.MILLISECONDS.sleep(TELL_PEERS_MILLIS);
+    TimeUnit.MILLISECONDS.sleep(NOTIFY_PEERS_MILLIS);
     Optional<EngineReport> report =
         orders
             .report(change.engine())
@@ -69,7 +73,7 @@
     }
     StageOrder order =
         new StageOrder(change.stage(), duty.node(), duty.lease().token(), report.get().sequence());
-    settle(change, order, orders.send(change.engine(), order));
+    onAnswer(change, order, orders.send(change.engine(), order));
   }
 
   private boolean takeLease(StageChange change) {
@@ -77,25 +81,25 @@
       if (duty.lease().take()) {
         return true;
       }
-      giveUp(change, "another node has the lease");
+      countAbandoned(change, "another node has the lease");
     } catch (StoreException e) {
-      giveUp(change, "no lease: " + e.getMessage());
+      countAbandoned(change, "no lease: " + e.getMessage());
       duty.events().accept(new DispatchEvent.CannotLead());
     }
     return false;
   }
 
-  private void giveUp(StageChange change, String reason) {
+  private void countAbandoned(StageChange change, String reason) {
     abandoned.incrementAndGet();
     duty.log().stageChangeAbandoned(change, reason);
   }
 
-  /** How many changes were given up before their order was sent; any thread may call. */
+  /** Returns how many changes were abandoned before their order was sent; any thread may call. */
   int abandoned() {
     return abandoned.get();
   }
 
-  private void settle(StageChange change, StageOrder order, OptionalInt status) {
+  private void onAnswer(StageChange change, StageOrder order, OptionalInt status) {
     duty.log().stageOrdered(change, order, status.orElse(0));
     if (status.isEmpty()) {
       duty.events().accept(new DispatchEvent.StageOrderUnanswered(change));
@@ -115,7 +119,7 @@
   }
 
   private void abandon(StageChange change, String reason) {
-    giveUp(change, reason);
+    countAbandoned(change, reason);
     duty.events().accept(new DispatchEvent.StageChangeAbandoned(change));
     jobs.pause(PAUSE_AFTER_FAILURE_NANOS);
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageDuty.java
@@ -10,20 +10,23 @@
 import org.fallturn.node.duty.FaultListener;
 
 /**
- * The duty that reports usage, one window at a time, on a thread of its own: takes the lease, fixes
- * the counts in the store, and tells the platform.
+ * The duty that reports usage to the platform, one window at a time, on a thread of its own. It
+ * takes the lease, fixes the counts of the window in the store, and sends the report.
  *
- * <p>Invariants: a report is sent only while the lease is held, which is asked right before, and
- * only with the counts that the store holds for its window, so that no two reports of a window
- * differ, whoever sends them and however late they are carried out.
+ * <p>Invariants: the duty sends a report only while this node holds the lease, which it checks
+ * right before, and only with the counts that the store holds for the window. So no two reports of
+ * a window differ, whichever node sends them and however late they take effect.
  */
 final class UsageDuty implements AutoCloseable {
 
-  /** Calls have their price, and a report has some 7 s. */
+  /** Each call has its price, and there are some 7 s to deliver a report. */
   private static final long PAUSE_AFTER_FAILURE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /** So long one node tries in vain before it lets another: half of what a report has. */
-  private static final long STEP_ASIDE_NANOS = TimeUnit.SECONDS.toNanos(4);
+  /**
+   * How long one node retries before it lets another one try: half of the time that there is to
+   * deliver a report.
+   */
+  private static final long STEP_ASIDE_AFTER_NANOS = TimeUnit.SECONDS.toNanos(4);
 
   private final DutyContext duty;
   private final UsageStore store;
@@ -32,7 +35,7 @@
   private long failingSinceNanos;
   private boolean failing;
 
-  /** A duty that has not begun. */
+  /** A duty that has not started. */
   UsageDuty(DutyContext duty, UsageStore store, UsageApi api) {
     this.duty = duty;
     this.store = store;
@@ -40,15 +43,15 @@
   }
 
   /**
-   * Begins.
+   * Starts the thread.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives what the duty does not catch
    */
   void start(FaultListener faults) {
     jobs.start(faults);
   }
 
-  /** Hands a report over; dropped while another is under way or right after a failure. */
+  /** Offers a report; it is dropped while another one runs or right after a failure. */
   void offer(UsageReport report) {
     jobs.offer(report);
   }
@@ -63,7 +66,7 @@
       if (fixed.isEmpty()) {
         done(proposed, DutyOutcome.FENCED);
       } else if (duty.lease().held()) {
-        settle(fixed.get(), api.report(fixed.get(), duty.node(), duty.lease().token()));
+        onAnswer(fixed.get(), api.report(fixed.get(), duty.node(), duty.lease().token()));
       } else {
         failed(proposed, "the lease has ended");
       }
@@ -73,7 +76,7 @@
     }
   }
 
-  private void settle(UsageReport report, DutyOutcome outcome) {
+  private void onAnswer(UsageReport report, DutyOutcome outcome) {
     switch (outcome) {
       case TAKEN -> done(report, outcome);
       case FENCED -> {
@@ -83,7 +86,7 @@
       }
       default -> {
         failed(report, "the platform: " + outcome);
-        stepAsideWhenInVain();
+        stepAsideIfFailingLong();
       }
     }
   }
@@ -103,9 +106,9 @@
     jobs.pause(PAUSE_AFTER_FAILURE_NANOS);
   }
 
-  /** The platform may answer other nodes. */
-  private void stepAsideWhenInVain() {
-    if (System.nanoTime() - failingSinceNanos >= STEP_ASIDE_NANOS) {
+  /** Lets another node lead after too many failures, since the platform may answer that one. */
+  private void stepAsideIfFailingLong() {
+    if (System.nanoTime() - failingSinceNanos >= STEP_ASIDE_AFTER_NANOS) {
       failing = false;
       duty.events().accept(new DispatchEvent.CannotLead());
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
@@ -5,7 +5,8 @@
 import org.fallturn.core.usage.UsageNews;
 
 /**
- * The fleet as the tally of requests sees it. Only the dispatch thread calls.
+ * The view of the fleet that {@link UsageTally} needs, from the overlay between nodes and the
+ * dispatcher. Only the dispatch thread calls.
  *
  * @param node name of this node
  */
@@ -28,7 +29,7 @@
   }
 
   @Override
-  public void tell(UsageNews news) {
+  public void publish(UsageNews news) {
     talk.usageMessages(news);
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
@@ -15,21 +15,29 @@
 import org.fallturn.core.usage.UsageWindows;
 
 /**
- * Counts the requests that begin to run, tells the sums to the nodes that collect them, and has a
- * window reported when it is due and this node leads. A request counts with the first part of its
- * answer; an application request, whose answer comes whole, with its sending, which is when a back
- * end that has room begins. Only the dispatch thread calls.
+ * Counts the requests that begin to run by tenant and window, publishes the sums to the nodes that
+ * collect them, and has a window reported when it is due and this node leads. A model request
+ * counts when the first part of its answer arrives. An application request, whose answer comes
+ * whole, counts as of its sending, which is when a back end that has room begins. Only the dispatch
+ * thread calls.
  */
 final class UsageTally implements RunCounter {
 
-  /** Of the counts of a node that is killed, those since it last told are lost. */
-  private static final long TELL_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /**
+   * How often this node publishes its counts. The counts of a killed node since it last published
+   * are lost.
+   */
+  private static final long PUBLISH_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-  /** As often as the clock is to be looked at; each look costs two calls of the system. */
-  private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  /** How often to read the clock, since each reading costs two system calls. */
+  private static final long CLOCK_READ_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
-  /** A node that has just begun to collect has been told by all within two such times. */
-  private static final long COLLECT_NANOS = 2 * TELL_NANOS + TELL_NANOS / 2;
+  /**
+   * How long after a node has begun to collect its sums count as complete: all other nodes publish
+   * to it within two intervals.
+   */
+  private static final long COLLECT_COMPLETE_NANOS =
+      2 * PUBLISH_INTERVAL_NANOS + PUBLISH_INTERVAL_NANOS / 2;
 
   private final UsageWindows windows;
   private final WallClock clock;
@@ -39,33 +47,33 @@
   private final UsageSchedule schedule;
   private boolean collects;
   private long collectsSinceNanos;
-  private long toldNanos;
-  private long lookedNanos;
+  private long publishedNanos;
+  private long clockReadNanos;
 
-  /** What the tally asks of the fleet. */
+  /** The fleet, as far as the tally needs it. */
   interface Fleet {
 
-    /** Name of this node. */
+    /** Returns the name of this node. */
     String node();
 
-    /** Rises with each start of this node's process. */
+    /** Returns the incarnation of this node's process, which rises with each start. */
     long incarnation();
 
-    /** Whether others tell this node what they count. */
+    /** Returns whether other nodes send their counts to this one. */
     boolean collects();
 
-    /** Whether this node is the one that reports now, as far as it knows. */
+    /** Returns whether this node is now the one that reports, as far as it knows. */
     boolean leads(long nowNanos);
 
-    /** Tells the nodes that collect. */
-    void tell(UsageNews news);
+    /** Sends the counts of this process to the nodes that collect. */
+    void publish(UsageNews news);
   }
 
   /**
    * A tally that has counted nothing.
    *
    * @param firstStart whether the whole system starts for the first time
-   * @param reports takes windows that are due, over and over until {@link #onReported}
+   * @param reports takes each report that is due, repeatedly until {@link #onReported}
    */
   UsageTally(
       UsageWindows windows,
@@ -143,21 +151,21 @@
 
   @Override
   public void onTick(long nowNanos) {
-    if (nowNanos - lookedNanos < LOOK_NANOS) {
+    if (nowNanos - clockReadNanos < CLOCK_READ_INTERVAL_NANOS) {
       return;
     }
-    lookedNanos = nowNanos;
+    clockReadNanos = nowNanos;
     long unixMillis = clock.unixMillis();
     if (collects != fleet.collects()) {
       collects = !collects;
       collectsSinceNanos = nowNanos;
     }
-    if (nowNanos - toldNanos >= TELL_NANOS) {
-      toldNanos = nowNanos;
-      tell(unixMillis);
+    if (nowNanos - publishedNanos >= PUBLISH_INTERVAL_NANOS) {
+      publishedNanos = nowNanos;
+      publish(unixMillis);
     }
-    boolean knows = collects && nowNanos - collectsSinceNanos >= COLLECT_NANOS;
-    if (knows && fleet.leads(nowNanos)) {
+    boolean sumsComplete = collects && nowNanos - collectsSinceNanos >= COLLECT_COMPLETE_NANOS;
+    if (sumsComplete && fleet.leads(nowNanos)) {
       OptionalLong due = schedule.due(unixMillis);
       if (due.isPresent()) {
         reports.accept(new UsageReport(due.getAsLong(), ledger.total(due.getAsLong())));
@@ -165,8 +173,11 @@
     }
   }
 
-  /** The present window and the one before, whose last counts may have come since. */
-  private void tell(long unixMillis) {
+  /**
+   * Publishes the counts of the present window and of the one before, whose last counts may have
+   * come since.
+   */
+  private void publish(long unixMillis) {
     long present = windows.at(unixMillis);
     Map<Long, Map<String, Integer>> sums = new HashMap<>();
     for (long window = present - 1; window <= present; window++) {
@@ -176,7 +187,7 @@
       }
     }
     if (!sums.isEmpty()) {
-      fleet.tell(new UsageNews(fleet.node(), fleet.incarnation(), sums));
+      fleet.publish(new UsageNews(fleet.node(), fleet.incarnation(), sums));
     }
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
@@ -50,13 +50,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An Error in a duty's work, as when a class could not be loaded, once ended its thread without a
- * line in the log: stages were ordered no more, peers not heard, tables not followed, while the
- * node called itself ready. Each duty is to tell of it and to go on with what comes next.
+ * Guards against duties that end silently. An {@link Error} in a duty's work, such as a class that
+ * cannot be loaded, can end its thread without a line in the log: the node orders no stages, hears
+ * no peers and follows no tables, but still reports that it is ready. Each duty must report the
+ * fault and go on with the next work.
  */
 class DutyFaultsTest {
 
-  private static final Duration LONGEST = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final String SETTINGS =
       """
       [gateway]
@@ -77,31 +78,31 @@
   private final FaultListener listener = (duty, fault, answer) -> faults.add(duty);
   private final DecisionLog log = new DecisionLog(new GatewayMetrics());
 
-  /** Fails the first time. */
-  private void work() {
+  /** Throws an error at the first call only. */
+  private void failFirstTime() {
     if (calls.incrementAndGet() == 1) {
       throw new NoClassDefFoundError("a/B");
     }
   }
 
-  private void awaitGoesOn(String duty, Runnable again) {
+  private void awaitContinues(String duty, Runnable trigger) {
     await()
-        .atMost(LONGEST)
+        .atMost(TIMEOUT)
         .until(
             () -> {
-              again.run();
+              trigger.run();
               return calls.get() > 1;
             });
     assertThat(faults).containsExactly(duty);
   }
 
-  /** A lease whose first reading fails. */
+  /** A context with a lease in whose store the first read throws an error. */
   private DutyContext context() {
     OrderLeaseStore store =
         new OrderLeaseStore() {
           @Override
           public OrderLeaseReading read() throws StoreException {
-            work();
+            failFirstTime();
             throw new StoreException("not reachable", false, null);
           }
 
@@ -130,7 +131,7 @@
             "e", "s", new NetworkAddress("127.0.0.1", 1), "z", 8, false, EngineStage.DECODE);
     try (StageDuty duty = new StageDuty(context(), null)) {
       duty.start(listener);
-      awaitGoesOn("stages", () -> duty.offer(new StageChange(engine, EngineStage.PREFILL)));
+      awaitContinues("stages", () -> duty.offer(new StageChange(engine, EngineStage.PREFILL)));
     }
   }
 
@@ -138,7 +139,7 @@
   void usage() {
     try (UsageDuty duty = new UsageDuty(context(), null, null)) {
       duty.start(listener);
-      awaitGoesOn("usage", () -> duty.offer(new UsageReport(1, Map.of())));
+      awaitContinues("usage", () -> duty.offer(new UsageReport(1, Map.of())));
     }
   }
 
@@ -146,12 +147,13 @@
   void scaling() {
     try (ScaleDuty duty = new ScaleDuty(context(), this::fix, null)) {
       duty.start(listener);
-      awaitGoesOn("scaling", () -> duty.offer(new ScaleAction.RecordInitialCounts("s", Map.of())));
+      awaitContinues(
+          "scaling", () -> duty.offer(new ScaleAction.RecordInitialCounts("s", Map.of())));
     }
   }
 
   private Map<String, Integer> fix(String service, Map<String, Integer> observed) {
-    work();
+    failFirstTime();
     return observed;
   }
 
@@ -166,7 +168,7 @@
 
           @Override
           public void put(RequestFingerprint content) {
-            work();
+            failFirstTime();
           }
 
           @Override
@@ -177,32 +179,32 @@
         };
     try (QuarantineDuty duty = new QuarantineDuty(store, event -> {}, log)) {
       duty.start(listener);
-      awaitGoesOn("quarantine", () -> duty.put(CONTENT));
+      awaitContinues("quarantine", () -> duty.put(CONTENT));
     }
   }
 
   @Test
-  void settingsThatWereNotTakenAreTakenLater(@TempDir Path directory) throws Exception {
+  void settingsAreTakenAgainAfterAFault(@TempDir Path directory) throws Exception {
     Path file = directory.resolve("settings.toml");
     Files.writeString(file, SETTINGS);
-    Consumer<GatewaySettings> taken = settings -> work();
+    Consumer<GatewaySettings> taken = settings -> failFirstTime();
     try (SettingsWatch watch = new SettingsWatch(file, taken, log)) {
       watch.start(listener);
       Files.writeString(file, SETTINGS + "\n");
-      awaitGoesOn("settings", () -> {});
+      awaitContinues("settings", () -> {});
     }
   }
 
   @Test
   void peers() throws Exception {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
+    InetSocketAddress anyPort = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     byte[] datagram = new PeerCodec().encode(message());
-    DatagramChannel channel = DatagramChannel.open().bind(any);
-    try (PeerExchange exchange = new PeerExchange(channel, event -> work());
-        DatagramChannel sender = DatagramChannel.open().bind(any)) {
+    DatagramChannel channel = DatagramChannel.open().bind(anyPort);
+    try (PeerExchange exchange = new PeerExchange(channel, event -> failFirstTime());
+        DatagramChannel sender = DatagramChannel.open().bind(anyPort)) {
       exchange.start(listener);
       InetSocketAddress target = (InetSocketAddress) channel.getLocalAddress();
-      awaitGoesOn("peers", () -> send(sender, datagram, target));
+      awaitContinues("peers", () -> send(sender, datagram, target));
     }
   }
 
@@ -221,7 +223,7 @@
         MessageKind.VIEW, peer, load, List.of(), List.of(), List.of(), Map.of(), true);
   }
 
-  /** A table with one row that does not change. */
+  /** A table with one row that never changes. */
   private static final class OneRow implements RowFeed {
 
     @Override
@@ -245,12 +247,12 @@
   }
 
   @Test
-  void followerHandsRowsOverAgain() throws Exception {
+  void followerHandsRowsOverAgainAfterAFault() throws Exception {
     RowFollower.Listener rows =
         new RowFollower.Listener() {
           @Override
           public void onRows(FeedTracker tracker) {
-            work();
+            failFirstTime();
           }
 
           @Override
@@ -276,7 +278,7 @@
           @Override
           public void onConfirmed(long storeMillis) {}
         };
-    PeerRows nobody =
+    PeerRows unknowingPeers =
         new PeerRows() {
           @Override
           public FeedAnswer askAny() throws StoreException {
@@ -288,14 +290,14 @@
             return askAny();
           }
         };
-    RowFollower.Sources sources = new RowFollower.Sources(new OneRow(), nobody, others);
+    RowFollower.Sources sources = new RowFollower.Sources(new OneRow(), unknowingPeers, others);
     Duration bound = Duration.ofSeconds(5);
     RowFollower.Times times =
         new RowFollower.Times(Duration.ZERO, FollowBounds.of(bound, bound), new NewsBell());
     try (RowFollower follower =
         new RowFollower("t", sources, rows, log, new FollowCounts(), times)) {
       follower.start(listener);
-      awaitGoesOn("follow-t", () -> {});
+      awaitContinues("follow-t", () -> {});
     }
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/FatalFaultHandlerTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/FatalFaultHandlerTest.java
@@ -10,17 +10,22 @@
 import org.fallturn.node.duty.FaultAnswer;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a node that keeps taking requests although one of its duties has ended, and
+ * against one that cannot end because the shutdown itself fails, as when memory is used up. A fault
+ * after which the duty goes on must only be counted.
+ */
 class FatalFaultHandlerTest {
 
-  private static final Duration LONGEST = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final Error FAULT = new NoClassDefFoundError("a/B");
 
   private final List<String> steps = new CopyOnWriteArrayList<>();
   private final GatewayMetrics metrics = new GatewayMetrics();
   private final GatewayState state = new GatewayState(null, 0, Optional.empty());
-  private boolean giveUpFails;
+  private boolean stopFails;
 
-  private final FatalFaultHandler end =
+  private final FatalFaultHandler handler =
       new FatalFaultHandler(
           state,
           new DecisionLog(metrics),
@@ -29,7 +34,7 @@
             @Override
             public void stopDuties() {
               steps.add("give up");
-              if (giveUpFails) {
+              if (stopFails) {
                 throw new OutOfMemoryError("thrown by a test");
               }
             }
@@ -42,8 +47,8 @@
 
   @Test
   void dutyThatGoesOnIsCountedAndTheNodeServes() {
-    end.onFault("peers", FAULT, new FaultAnswer(true, 0));
-    end.onFault("peers", FAULT, new FaultAnswer(true, 0));
+    handler.onFault("peers", FAULT, new FaultAnswer(true, 0));
+    handler.onFault("peers", FAULT, new FaultAnswer(true, 0));
     assertThat(metrics.text())
         .contains("fallturn_gateway_events_total{event=\"DUTY_FAILED\",detail=\"peers\"} 2");
     assertThat(state.takesRequests()).isTrue();
@@ -53,18 +58,18 @@
 
   @Test
   void dutyThatCannotGoOnEndsTheNodeOnce() {
-    end.onFault("dispatch", FAULT, FaultAnswer.END);
-    end.onFault("dispatch", FAULT, FaultAnswer.END);
+    handler.onFault("dispatch", FAULT, FaultAnswer.END);
+    handler.onFault("dispatch", FAULT, FaultAnswer.END);
     assertThat(state.takesRequests()).isFalse();
     assertThat(state.stopping()).isTrue();
-    await().atMost(LONGEST).until(() -> steps.contains("exit 3"));
+    await().atMost(TIMEOUT).until(() -> steps.contains("exit 3"));
     assertThat(steps).containsExactly("give up", "await answers", "exit 3");
   }
 
   @Test
   void processEndsAtOnceWhenNothingElseCanBeDone() {
-    giveUpFails = true;
-    end.onFault("usage", FAULT, FaultAnswer.END);
+    stopFails = true;
+    handler.onFault("usage", FAULT, FaultAnswer.END);
     assertThat(steps).containsExactly("give up", "exit 3");
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/LogPageTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/LogPageTest.java
@@ -8,11 +8,11 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The page of log lines names every event. */
+/** Guards against an event that is missing on the operators' page of log lines. */
 class LogPageTest {
 
   @Test
-  void everyEventStandsOnThePage() throws IOException {
+  void pageNamesEveryEvent() throws IOException {
     String page = Files.readString(Path.of("..", "docs", "operations", "logs.md"));
     assertThat(Arrays.stream(LogEvent.values()).map(Enum::name))
         .allSatisfy(event -> assertThat(page).containsPattern("\\b" + event + "\\b"));
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/RequestTimelineTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/RequestTimelineTest.java
@@ -9,6 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/**
+ * Guards the timeline of a request against lines that it leaves out or adds. It must have the
+ * request's own lines from all processes in time order, the state that these processes had then,
+ * and the lines about the same content under other ids. It must not have the lines of other
+ * requests, nor state that was replaced, had lapsed, or came later.
+ */
 class RequestTimelineTest {
 
   @TempDir private Path folder;
@@ -28,7 +34,7 @@
   }
 
   @Test
-  void tellsARequestOverProcessesWithWhatTheyBelieved() throws Exception {
+  void listsARequestAcrossProcessesWithTheirState() throws Exception {
     Path one =
         log(
             "one.log",
@@ -44,17 +50,17 @@
             "two.log",
             line(5, "event", "ENGINES_CHANGED", "engines", "8"),
             line(70, "event", "REFUSED_AT_DOOR", "request", "r", "kind", "STOPPING"));
-    List<String> story = RequestTimeline.of(List.of(one, two), "r");
-    assertThat(story).hasSize(5);
-    assertThat(story.get(0)).contains("two.log", "ENGINES_CHANGED", "engines=8");
-    assertThat(story.get(1)).contains("one.log", "ROUTING_CHANGED", "version=5");
-    assertThat(story.get(2)).contains("+0.0 ms", "PLACED", "engine=e-1");
-    assertThat(story.get(3)).contains("+30.0 ms", "outcome=LOST");
-    assertThat(story.get(4)).contains("+40.0 ms", "two.log", "kind=STOPPING");
+    List<String> timeline = RequestTimeline.of(List.of(one, two), "r");
+    assertThat(timeline).hasSize(5);
+    assertThat(timeline.get(0)).contains("two.log", "ENGINES_CHANGED", "engines=8");
+    assertThat(timeline.get(1)).contains("one.log", "ROUTING_CHANGED", "version=5");
+    assertThat(timeline.get(2)).contains("+0.0 ms", "PLACED", "engine=e-1");
+    assertThat(timeline.get(3)).contains("+30.0 ms", "outcome=LOST");
+    assertThat(timeline.get(4)).contains("+40.0 ms", "two.log", "kind=STOPPING");
   }
 
   @Test
-  void tellsWhatEnginesTheSameContentCrashedUnderOtherIds() throws Exception {
+  void listsEnginesThatTheSameContentCrashedUnderOtherIds() throws Exception {
     Path one =
         log(
             "one.log",
@@ -65,15 +71,15 @@
         log(
             "two.log",
             line(90, "event", "REFUSED", "request", "r", "content", "c1", "kind", "QUARANTINED"));
-    List<String> story = RequestTimeline.of(List.of(one, two), "r");
-    assertThat(story).hasSize(3);
-    assertThat(story.get(0)).contains("-80.0 ms", "one.log", "engine=e-1");
-    assertThat(story.get(1)).contains("standing=QUARANTINED");
-    assertThat(story.get(2)).contains("two.log", "kind=QUARANTINED");
+    List<String> timeline = RequestTimeline.of(List.of(one, two), "r");
+    assertThat(timeline).hasSize(3);
+    assertThat(timeline.get(0)).contains("-80.0 ms", "one.log", "engine=e-1");
+    assertThat(timeline.get(1)).contains("standing=QUARANTINED");
+    assertThat(timeline.get(2)).contains("two.log", "kind=QUARANTINED");
   }
 
   @Test
-  void tellsWhichEnginesWereOutOfChoiceAndWhy() throws Exception {
+  void listsWhichEnginesWereExcludedAndWhy() throws Exception {
     Path one =
         log(
             "one.log",
@@ -82,22 +88,22 @@
             line(30, "event", "ENGINE_RESTS", "engine", "e-3", "restMs", "50"),
             line(40, "event", "ENGINE_LEAVES", "engine", "e-4", "source", "LIST"),
             line(100, "event", "REFUSED", "request", "r", "kind", "NO_CAPACITY"));
-    List<String> story = RequestTimeline.of(List.of(one), "r");
-    assertThat(story).hasSize(4);
-    assertThat(story.get(0)).contains("ENGINE_LEAVES", "engine=e-1", "source=ANSWER");
-    assertThat(story.get(1)).contains("ENGINE_RESTS", "engine=e-2", "restMs=3000");
-    assertThat(story.get(2)).contains("ENGINE_LEAVES", "engine=e-4");
-    assertThat(story.get(3)).contains("REFUSED");
+    List<String> timeline = RequestTimeline.of(List.of(one), "r");
+    assertThat(timeline).hasSize(4);
+    assertThat(timeline.get(0)).contains("ENGINE_LEAVES", "engine=e-1", "source=ANSWER");
+    assertThat(timeline.get(1)).contains("ENGINE_RESTS", "engine=e-2", "restMs=3000");
+    assertThat(timeline.get(2)).contains("ENGINE_LEAVES", "engine=e-4");
+    assertThat(timeline.get(3)).contains("REFUSED");
   }
 
   @Test
-  void takesTheProcessFromWhatStandsBeforeTheObject() throws Exception {
+  void readsTheProcessFromTheTextBeforeTheObject() throws Exception {
     Path all = log("all", "  1.5 node-7 " + line(1, "event", "PLACED", "request", "r"));
     assertThat(RequestTimeline.of(List.of(all), "r").get(0)).contains("node-7");
   }
 
   @Test
-  void unknownRequestHasNoStory() throws Exception {
+  void unknownRequestHasNoTimeline() throws Exception {
     assertThat(RequestTimeline.of(List.of(log("empty")), "r")).isEmpty();
   }
 }
