--- a/fallturn-node/src/main/java/org/fallturn/node/command/ExplainCommand.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/ExplainCommand.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
-import org.fallturn.node.gateway.LogStory;
+import org.fallturn.node.gateway.RequestTimeline;
 
 /** {@code fallturn explain}: the story of one request from the logs of several gateways. */
 public final class ExplainCommand implements Command {
@@ -43,7 +43,7 @@
     String request = arguments.getString(REQUEST);
     List<Path> files = new ArrayList<>();
     arguments.<String>getList(FILES).forEach(file -> files.add(Path.of(file)));
-    List<String> story = LogStory.of(files, request);
+    List<String> story = RequestTimeline.of(files, request);
     if (story.isEmpty()) {
       out.println("no line of these logs names request " + request);
       return FAILED;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NewsBell.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/ChangeSignal.java
@@ -7,10 +7,10 @@
  * Lets one thread wait for something that others learn, without looking for it time and again.
  * Thread-safe.
  */
-final class NewsBell implements RowFollower.Pause {
+final class ChangeSignal implements RowFollower.Pause {
 
   /** Something was learned: whoever waits looks again whether it is what it waits for. */
-  synchronized void ring() {
+  synchronized void signal() {
     notifyAll();
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
@@ -157,7 +157,7 @@
   }
 
   /** Says how many lines were dropped, if any; called now and then. */
-  void droppedLines() {
+  void logDroppedLines() {
     long count = LogSetup.takeDroppedLines();
     if (count > 0) {
       line(LogEvent.LINES_DROPPED).addKeyValue("count", count).log();
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -48,12 +48,12 @@
   private final Dispatcher dispatcher;
   private final EngineClient engines;
   private final DecisionLog log;
-  private final PeerTalk peers;
+  private final PeerMessenger peers;
   private final Set<Exchange> active = new HashSet<>();
   private final PendingRequestTerminator held;
   private final CacheSurvey survey;
   private final Consumer<StageChange> stageChanges;
-  private final QuarantineKeeper keeper;
+  private final QuarantineActions keeper;
   private final RunCounter runs;
   private final Scaling scaling;
   private final List<Exchange> waitingForSurvey = new ArrayList<>();
@@ -67,10 +67,10 @@
       Dispatcher dispatcher,
       EngineClient engines,
       DecisionLog log,
-      PeerTalk peers,
+      PeerMessenger peers,
       CacheSurvey survey,
       Consumer<StageChange> stageChanges,
-      QuarantineKeeper keeper,
+      QuarantineActions keeper,
       RunCounter runs,
       Scaling scaling,
       BooleanSupplier stopping) {
@@ -112,7 +112,7 @@
       dispatcher.setDirectory(changed.directory(), now);
       scaling.setDirectory(dispatcher.directory());
       survey.onDirectory(changed.directory(), now);
-      peers.tell(now);
+      peers.sendDue(now);
     } else if (event instanceof DispatchEvent.CacheListed answer) {
       log.cacheListed(answer);
       answer
@@ -120,21 +120,21 @@
           .ifPresent(
               parts -> dispatcher.fleet().onEngineCacheListing(parts, answer.askedAtNanos()));
       survey.onAnswer(answer, now);
-      peers.onListed(answer, now);
+      peers.onCacheListed(answer, now);
       endWaiting(now);
     } else if (event instanceof DispatchEvent.RoutingChanged changed) {
       dispatcher.setRouting(changed.image());
       scaling.setServices(changed.image().services());
       engines.setServices(changed.image());
-      peers.tell(now);
+      peers.sendDue(now);
     } else if (event instanceof DispatchEvent.StageChangeBegun begun) {
       dispatcher.onStageChangeBegun(begun.change(), now);
-      peers.tellNow(now);
+      peers.sendNow(now);
     } else if (event instanceof DispatchEvent.StageChangeAbandoned abandoned) {
       dispatcher.stages().abandon(abandoned.change());
     } else if (event instanceof DispatchEvent.CannotLead) {
       dispatcher.stages().onLeaseDenied(now);
-      peers.tellNow(now);
+      peers.sendNow(now);
     } else if (event instanceof DispatchEvent.StageOrderUnanswered unanswered) {
       dispatcher.stages().onUnanswered(unanswered.change(), now);
     } else if (event instanceof DispatchEvent.EngineGone gone) {
@@ -153,7 +153,7 @@
       scaling.onAnswer(answered.order(), answered.outcome(), now);
     } else if (event instanceof DispatchEvent.PeerMessageReceived heard) {
       heard.message().usage().ifPresent(runs::onPeerReport);
-      peers.onHeard(heard.message(), now);
+      peers.onMessage(heard.message(), now);
       endWaiting(now);
     }
   }
@@ -174,7 +174,7 @@
       scaling.setDirectory(dispatcher.directory());
     }
     if (found.stream().anyMatch(notice -> notice.source() == NoticeSource.ANSWER)) {
-      peers.tellNow(now);
+      peers.sendNow(now);
     }
   }
 
@@ -365,15 +365,15 @@
     long now = System.nanoTime();
     endWaits(now);
     if (dispatcher.quarantine().takeUrgentChange()) {
-      peers.tellNow(now);
+      peers.sendNow(now);
       keepQuarantine(now);
     } else if (dispatcher.fleet().hasNewPrompts()) {
-      peers.tell(now);
+      peers.sendDue(now);
     }
   }
 
   private void keepQuarantine(long now) {
-    keeper.keep(now).forEach(content -> takeBackCopies(content, now));
+    keeper.carryOutDue(now).forEach(content -> takeBackCopies(content, now));
   }
 
   /** Copies that still run elsewhere would crash their engines too. */
@@ -414,7 +414,7 @@
     }
     if (now - lastStageNanos >= STAGE_NANOS) {
       lastStageNanos = now;
-      log.droppedLines();
+      log.logDroppedLines();
       dispatcher.wantedStageChange(now).ifPresent(stageChanges);
       scaling.onTick(dispatcher.stages().leads(now), now);
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NodeEnd.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
@@ -9,28 +9,28 @@
  * Thread-safe. What is done first needs no memory: the node is no longer ready and takes nothing
  * more.
  */
-final class NodeEnd implements FaultListener {
+final class FatalFaultHandler implements FaultListener {
 
   private final GatewayState state;
   private final DecisionLog log;
-  private final ProcessEnd process;
-  private final Work work;
+  private final ProcessExit process;
+  private final ShutdownSteps work;
   private final AtomicBoolean begun = new AtomicBoolean();
 
   /** Made early, since a process without memory may not be able to. */
   private final Thread thread = new Thread(this::run, "node-end");
 
   /** What is done before the process ends. */
-  interface Work {
+  interface ShutdownSteps {
 
     /** Gives up what is held; must not wait. */
-    void giveUp();
+    void stopDuties();
 
     /** Waits, within a bound, until the answers have reached their callers. */
     void awaitAnswers() throws InterruptedException;
   }
 
-  NodeEnd(GatewayState state, DecisionLog log, ProcessEnd process, Work work) {
+  FatalFaultHandler(GatewayState state, DecisionLog log, ProcessExit process, ShutdownSteps work) {
     this.state = state;
     this.log = log;
     this.process = process;
@@ -55,10 +55,10 @@
 
   private void begin() {
     try {
-      work.giveUp();
+      work.stopDuties();
       thread.start();
     } catch (Throwable noThread) {
-      process.end(ProcessEnd.DUTY_FAILED);
+      process.end(ProcessExit.DUTY_FAILED);
     }
   }
 
@@ -69,7 +69,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } finally {
-      process.end(ProcessEnd.DUTY_FAILED);
+      process.end(ProcessExit.DUTY_FAILED);
     }
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -86,14 +86,14 @@
   private final CacheSurvey survey;
   private final PeerSnapshots snapshots;
   private final FollowCounts followCounts = new FollowCounts();
-  private final List<NewsBell> bells = new CopyOnWriteArrayList<>();
+  private final List<ChangeSignal> changeSignals = new CopyOnWriteArrayList<>();
   private final DutyThread<DispatchEvent> dispatch;
-  private final NodeEnd faults;
+  private final FatalFaultHandler faults;
   private final StageDuty stages;
   private final Optional<UsageDuty> usage;
   private final Optional<ScaleDuty> scaling;
   private final QuarantineDuty quarantine;
-  private final QuarantineKeeper keeper;
+  private final QuarantineActions keeper;
   private final RowFollower routingFollower;
   private final DecodedRows<ServingEngine> engineRows;
   private final RowFollower engineFollower;
@@ -121,14 +121,14 @@
       GatewaySettings settings,
       GatewayPlatform platform,
       ServerSocketChannel callerSocket,
-      ProcessEnd processEnd)
+      ProcessExit processEnd)
       throws Exception {
     this.settings = settings;
     this.platform = platform;
     this.state =
         new GatewayState(
             platform.callers(), MAX_BODY_BYTES_IN_FLIGHT, settings.bounds().keyLifetime());
-    this.faults = new NodeEnd(state, log, processEnd, new EndWork());
+    this.faults = new FatalFaultHandler(state, log, processEnd, new EndWork());
     threads.setName("gateway");
     this.server = new Server(threads);
     DispatchParameters parameters = settings.dispatchParameters();
@@ -154,11 +154,11 @@
             this::tell,
             engine -> overlay.pollsEngine(engine, System.nanoTime()),
             settings.firstStart());
-    PeerTalk talk = new PeerTalk(overlay, dispatcher, survey, peers::send);
+    PeerMessenger messenger = new PeerMessenger(overlay, dispatcher, survey, peers::send);
     this.quarantine =
         new QuarantineDuty(platform.quarantine().create(engines.client()), this::tell, log);
     this.keeper =
-        new QuarantineKeeper(dispatcher, new EngineProbe(engines, this::tell), quarantine, log);
+        new QuarantineActions(dispatcher, new EngineProbe(engines, this::tell), quarantine, log);
     this.scaling = settings.duties().api().map(address -> newScaleDuty(duties, address));
     this.usage = settings.duties().usage().map(windows -> newUsageDuty(duties));
     DispatchDuty duty =
@@ -166,11 +166,11 @@
             dispatcher,
             engines,
             log,
-            talk,
+            messenger,
             survey,
             stages::offer,
             keeper,
-            runCounter(dispatcher, talk),
+            runCounter(dispatcher, messenger),
             newScaling(),
             state::stopping);
     this.dispatch = new DutyThread<>("dispatch", RING_SIZE, TICK, duty);
@@ -220,11 +220,10 @@
 
   /** No engine is ordered on a view that may be older than the time to be in touch again. */
   private boolean engineListIsNew() {
-    return engineFollower.unconfirmedNanos(System.nanoTime())
-        < settings.bounds().contact().toNanos();
+    return engineFollower.stalenessNanos(System.nanoTime()) < settings.bounds().contact().toNanos();
   }
 
-  private RunCounter runCounter(Dispatcher dispatcher, PeerTalk talk) {
+  private RunCounter runCounter(Dispatcher dispatcher, PeerMessenger messenger) {
     if (usage.isEmpty()) {
       return RunCounter.NONE;
     }
@@ -232,7 +231,7 @@
         settings.duties().usage().orElseThrow(),
         new WallClock(System::nanoTime, System::currentTimeMillis),
         settings.firstStart(),
-        new UsageFleet(overlay, dispatcher, talk, settings.nodeName()),
+        new UsageFleet(overlay, dispatcher, messenger, settings.nodeName()),
         usage.get()::offer);
   }
 
@@ -240,10 +239,10 @@
       String table,
       GatewayPlatform.ClientFactory<RowFeed> feed,
       Consumer<FeedTracker> onRows,
-      Duration longestGather) {
+      Duration maxBatchPause) {
     Duration change = settings.bounds().drain();
-    NewsBell bell = new NewsBell();
-    bells.add(bell);
+    ChangeSignal changeSignal = new ChangeSignal();
+    changeSignals.add(changeSignal);
     return new RowFollower(
         table,
         new RowFollower.Sources(
@@ -252,7 +251,7 @@
         log,
         followCounts,
         new RowFollower.Times(
-            longestGather, FollowBounds.of(change, settings.bounds().contact()), bell));
+            maxBatchPause, FollowBounds.of(change, settings.bounds().contact()), changeSignal));
   }
 
   private WatchedConnector newCallersConnector(ServerSocketChannel socket) throws IOException {
@@ -281,7 +280,7 @@
    * come first: every port takes processor time that those who wait would wait for.
    */
   public void start() throws Exception {
-    overlay.tables().setOnNewerVersion(() -> bells.forEach(NewsBell::ring));
+    overlay.tables().setOnNewerVersion(() -> changeSignals.forEach(ChangeSignal::signal));
     dispatch.start(DutyState.HELD_ALONE, faults);
     peers.start(faults);
     stages.start(faults);
@@ -294,7 +293,7 @@
     server.addConnector(callers);
     callers.start();
     readiness = ReadinessPort.open(settings.readiness(), platform.readinessPath(), state);
-    peerListener = new HttpListener("peers", peerPorts.questions(), PEER_THREADS, snapshots);
+    peerListener = new HttpListener("peers", peerPorts.requests(), PEER_THREADS, snapshots);
     openMetrics();
     quarantine.start(faults);
     log.started(settings.nodeName());
@@ -439,8 +438,8 @@
     };
   }
 
-  private RowFollower.Others others(String table) {
-    return new RowFollower.Others() {
+  private RowFollower.PeerReports others(String table) {
+    return new RowFollower.PeerReports() {
       @Override
       public long newestChange() {
         return overlay.tables().newest(table);
@@ -464,7 +463,7 @@
   }
 
   private void onRoutingRows(FeedTracker tracker) {
-    snapshots.keep(ROUTING, tracker);
+    snapshots.update(ROUTING, tracker);
     overlay.tables().onSeen(ROUTING, tracker.newestChange());
     for (FeedRow row : tracker.rows()) {
       if (platform.isRouting().test(row)) {
@@ -489,7 +488,7 @@
   }
 
   private void onEngineRows(FeedTracker tracker) {
-    snapshots.keep(ENGINES, tracker);
+    snapshots.update(ENGINES, tracker);
     overlay.tables().onSeen(ENGINES, tracker.newestChange());
     directory = EngineDirectory.of(tracker.position(), engineRows.read(tracker.rows()));
     tell(new DispatchEvent.DirectoryChanged(directory));
@@ -522,10 +521,10 @@
   }
 
   /** What is left to do where a duty cannot go on. */
-  private final class EndWork implements NodeEnd.Work {
+  private final class EndWork implements FatalFaultHandler.ShutdownSteps {
 
     @Override
-    public void giveUp() {
+    public void stopDuties() {
       dispatch.end();
       closeDuties();
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayState.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayState.java
@@ -52,7 +52,7 @@
   /** Whether other nodes know newer routes and keys than those in force here. */
   boolean routingIsBehind() {
     RowFollower follower = routingFollower;
-    return follower != null && follower.knowsOfNewer();
+    return follower != null && follower.knowsOfNewerChange();
   }
 
   /**
@@ -63,7 +63,7 @@
     RowFollower follower = routingFollower;
     return keyLifetime.isEmpty()
         || follower == null
-        || follower.unconfirmedNanos(nowNanos) < keyLifetime.get().toNanos();
+        || follower.stalenessNanos(nowNanos) < keyLifetime.get().toNanos();
   }
 
   /** Takes an image if it is newer than the one in force. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerTalk.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerMessenger.java
@@ -13,10 +13,10 @@
 import org.fallturn.core.usage.UsageNews;
 
 /**
- * The dispatch duty's part in what nodes tell each other: passes on what is heard to whoever
+ * The dispatch duty's part in what nodes sendDue each other: passes on what is heard to whoever
  * believes it, and sends what is due. Only the dispatch thread calls.
  */
-final class PeerTalk {
+final class PeerMessenger {
 
   private static final long COUNT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
@@ -26,7 +26,7 @@
   private final Consumer<List<OutgoingPeerMessage>> sender;
   private long countedNanos;
 
-  PeerTalk(
+  PeerMessenger(
       RelayOverlay overlay,
       Dispatcher dispatcher,
       CacheSurvey survey,
@@ -39,7 +39,7 @@
   }
 
   /** Another node spoke. */
-  void onHeard(PeerMessage message, long nowNanos) {
+  void onMessage(PeerMessage message, long nowNanos) {
     overlay.onMessage(message, nowNanos);
     dispatcher.fleet().onPeerReport(message.load(), nowNanos);
     message.crashes().forEach(report -> dispatcher.quarantine().onPeerReport(report, nowNanos));
@@ -48,7 +48,7 @@
       survey.onPeerReport(listing.engineId(), nowNanos);
     }
     if (overlay.hasUnsentTableVersions()) {
-      tell(nowNanos);
+      sendDue(nowNanos);
     }
     if (overlay.hasListingRequests()) {
       sender.accept(overlay.answerListings(dispatcher.fleet().cacheListings(nowNanos), nowNanos));
@@ -56,7 +56,7 @@
   }
 
   /** An engine told this node what it keeps. */
-  void onListed(DispatchEvent.CacheListed answer, long nowNanos) {
+  void onCacheListed(DispatchEvent.CacheListed answer, long nowNanos) {
     answer
         .parts()
         .ifPresent(
@@ -67,7 +67,7 @@
   }
 
   /** Sends what is due; called at each tick, and when prompts may have been placed. */
-  void tell(long nowNanos) {
+  void sendDue(long nowNanos) {
     if (dispatcher.fleet().hasNewPrompts()) {
       overlay.addPrompts(dispatcher.fleet().takeNewPrompts());
     }
@@ -84,13 +84,13 @@
   }
 
   /** Tells the others at once. */
-  void tellNow(long nowNanos) {
+  void sendNow(long nowNanos) {
     overlay.onUrgentChange();
-    tell(nowNanos);
+    sendDue(nowNanos);
   }
 
   /** Tells the nodes that collect what this one has counted. */
-  void usageMessages(UsageNews news) {
+  void sendUsage(UsageNews news) {
     sender.accept(overlay.usageMessages(news));
   }
 
@@ -104,6 +104,6 @@
       survey.onTick(nowNanos);
       overlay.setWantsListings(survey.wantsListings(nowNanos));
     }
-    tell(nowNanos);
+    sendDue(nowNanos);
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerPorts.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerPorts.java
@@ -8,14 +8,14 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * One port number, bound over UDP for datagrams and over TCP for questions, since a peer knows a
+ * One port number, bound over UDP for datagrams and over TCP for requests, since a peer knows a
  * single address. Where any port will do, another number is tried when the one that UDP got is
  * taken over TCP.
  *
  * @param datagrams bound over UDP
- * @param questions bound over TCP; accepts nothing yet
+ * @param requests bound over TCP; accepts nothing yet
  */
-record PeerPorts(DatagramChannel datagrams, ServerSocketChannel questions) {
+record PeerPorts(DatagramChannel datagrams, ServerSocketChannel requests) {
 
   private static final int MAX_TRIES = 50;
 
@@ -40,15 +40,15 @@
 
   private static PeerPorts bindOnce(NetworkAddress listen) throws IOException {
     DatagramChannel datagrams = DatagramChannel.open();
-    ServerSocketChannel questions = ServerSocketChannel.open();
+    ServerSocketChannel requests = ServerSocketChannel.open();
     try {
       datagrams.bind(new InetSocketAddress(listen.host(), listen.port()));
       int port = ((InetSocketAddress) datagrams.getLocalAddress()).getPort();
-      questions.bind(new InetSocketAddress(listen.host(), port));
-      return new PeerPorts(datagrams, questions);
+      requests.bind(new InetSocketAddress(listen.host(), port));
+      return new PeerPorts(datagrams, requests);
     } catch (IOException e) {
       datagrams.close();
-      questions.close();
+      requests.close();
       throw e;
     }
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
@@ -64,7 +64,7 @@
   private final AtomicInteger turn = new AtomicInteger();
 
   /** What was answered to a question about a table. */
-  private record Encoded(FeedAnswer table, String query, TableNews news, Lazy<byte[]> bytes) {}
+  private record Encoded(FeedAnswer table, String query, TableUpdate news, Lazy<byte[]> bytes) {}
 
   /** A value that is made when it is first asked for, since what is too large is never sent. */
   private static final class Lazy<T> {
@@ -98,7 +98,7 @@
     this.newestChange = newestChange;
   }
 
-  private TableNews call(NetworkAddress peer, String path, int mostBytes) throws StoreException {
+  private TableUpdate call(NetworkAddress peer, String path, int mostBytes) throws StoreException {
     try {
       ContentResponse response =
           client
@@ -113,7 +113,7 @@
       if (response.getStatus() != HttpStatus.OK_200) {
         throw new StoreException(peer + " does not know " + path, false, null);
       }
-      return codec.decode(response.getContent(), TableNews.class);
+      return codec.decode(response.getContent(), TableUpdate.class);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new StoreException("interrupted", false, e);
@@ -123,7 +123,7 @@
   }
 
   /** Remembers what this node knows of a table. */
-  void keep(String table, FeedTracker tracker) {
+  void update(String table, FeedTracker tracker) {
     known.put(table, new FeedAnswer(List.copyOf(tracker.rows()), tracker.position()));
   }
 
@@ -159,21 +159,21 @@
     if (last != null && last.table() == table && Objects.equals(last.query(), query)) {
       return last;
     }
-    TableNews news = news(query, table);
+    TableUpdate news = news(query, table);
     Encoded encoded = new Encoded(table, query, news, new Lazy<>(() -> codec.encode(news)));
     lastEncoded.put(path, encoded);
     return encoded;
   }
 
   /** A position that is no number is none that anybody knows. */
-  private static TableNews news(String query, FeedAnswer table) {
+  private static TableUpdate news(String query, FeedAnswer table) {
     if (query == null || !query.startsWith(AFTER)) {
-      return TableNews.whole(table);
+      return TableUpdate.whole(table);
     }
     try {
-      return TableNews.since(Long.parseLong(query.substring(AFTER.length())), table);
+      return TableUpdate.since(Long.parseLong(query.substring(AFTER.length())), table);
     } catch (NumberFormatException e) {
-      return TableNews.whole(table);
+      return TableUpdate.whole(table);
     }
   }
 
@@ -227,7 +227,7 @@
     }
 
     private FeedAnswer whole(NetworkAddress peer, int mostBytes) throws StoreException {
-      TableNews news = call(peer, PATH_PREFIX + table, mostBytes);
+      TableUpdate news = call(peer, PATH_PREFIX + table, mostBytes);
       return new FeedAnswer(news.rows(), news.version());
     }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineKeeper.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineActions.java
@@ -11,7 +11,7 @@
  * Carries out what the quarantine asks for: engines are probed, the store is written, changes are
  * logged. Only the dispatch thread calls, but for the count.
  */
-final class QuarantineKeeper {
+final class QuarantineActions {
 
   private final Dispatcher dispatcher;
   private final EngineProbe probe;
@@ -19,7 +19,7 @@
   private final DecisionLog log;
   private volatile int quarantined;
 
-  QuarantineKeeper(
+  QuarantineActions(
       Dispatcher dispatcher, EngineProbe probe, QuarantineDuty store, DecisionLog log) {
     this.dispatcher = dispatcher;
     this.probe = probe;
@@ -28,7 +28,7 @@
   }
 
   /** Carries out what is due, and gives the contents that have come into quarantine since. */
-  List<RequestFingerprint> keep(long nowNanos) {
+  List<RequestFingerprint> carryOutDue(long nowNanos) {
     Quarantine quarantine = dispatcher.quarantine();
     for (String engineId : quarantine.takeProbes(nowNanos)) {
       dispatcher.engine(engineId).ifPresent(probe::ask);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/LogStory.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RequestTimeline.java
@@ -23,7 +23,7 @@
  * of the content under any id is told too. What stands before the object in a line is taken as the
  * name of the process, or else the file's name.
  */
-public final class LogStory {
+public final class RequestTimeline {
 
   private static final Set<String> BELIEFS =
       Set.of(
@@ -47,7 +47,7 @@
   private static final String CONTENT = "content";
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private LogStory() {}
+  private RequestTimeline() {}
 
   /** One line of a log. */
   private record Line(String process, long timeNanos, Map<String, String> fields) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -45,7 +45,7 @@
   private final PeerRows peers;
   private final Listener listener;
   private final DecisionLog log;
-  private final Others others;
+  private final PeerReports others;
   private final Times times;
   private final FollowCounts counts;
   private final FollowPlan plan;
@@ -64,7 +64,7 @@
   private volatile long position;
 
   /** What other nodes tell of the table. Thread-safe. */
-  interface Others {
+  interface PeerReports {
 
     /** The newest change that any of them has seen; 0 when none has. */
     long newestChange();
@@ -98,16 +98,16 @@
   }
 
   /** Where rows come from, besides this node. */
-  record Sources(RowFeed store, PeerRows peers, Others others) {}
+  record Sources(RowFeed store, PeerRows peers, PeerReports others) {}
 
   /**
    * How long the follower's thread waits for what.
    *
-   * @param longestGather bounds how long a change may wait to be read together with others
+   * @param maxBatchPause bounds how long a change may wait to be read together with others
    * @param bounds how old what is known may be
    * @param pause how the thread waits
    */
-  record Times(Duration longestGather, FollowBounds bounds, Pause pause) {}
+  record Times(Duration maxBatchPause, FollowBounds bounds, Pause pause) {}
 
   /** A follower that has not begun. */
   RowFollower(
@@ -306,13 +306,13 @@
   private void gather(long answeredWithinNanos) throws InterruptedException {
     boolean goesOn = answeredWithinNanos < WAS_THERE_NANOS && gatherMillis > 0;
     long longer =
-        Math.min(2 * gatherMillis, Math.max(GATHER_MILLIS, times.longestGather().toMillis()));
+        Math.min(2 * gatherMillis, Math.max(GATHER_MILLIS, times.maxBatchPause().toMillis()));
     gatherMillis = goesOn ? longer : GATHER_MILLIS;
     times.pause().await(gatherMillis, () -> plan.isBehind(sight(), System.nanoTime()));
   }
 
   /** Whether other nodes have seen a change that this one does not know; any thread may call. */
-  boolean knowsOfNewer() {
+  boolean knowsOfNewerChange() {
     return others.newestChange() > position;
   }
 
@@ -320,9 +320,9 @@
    * How long ago it was certain that nothing newer is there, in ns; any thread may call. What other
    * nodes tell counts as much as what the store answers.
    */
-  long unconfirmedNanos(long nowNanos) {
+  long stalenessNanos(long nowNanos) {
     long current = nowNanos - currentNanos;
-    boolean certain = !owesRows && !knowsOfNewer();
+    boolean certain = !owesRows && !knowsOfNewerChange();
     return certain ? Math.min(current, ageNanos(nowNanos)) : current;
   }
 
@@ -361,7 +361,7 @@
     }
   }
 
-  /** Others are told of the changes first: to confirm is to say that there are no more. */
+  /** PeerReports are told of the changes first: to confirm is to say that there are no more. */
   private void onReached(FeedAnswer answer, FollowSight before) {
     behind = false;
     confirmedNanos = System.nanoTime();
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/TableNews.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/TableUpdate.java
@@ -17,10 +17,10 @@
  * @param version the position that they hold at
  * @param keys of all rows that are there; null in a whole table
  */
-record TableNews(List<FeedRow> rows, long version, List<String> keys) {
+record TableUpdate(List<FeedRow> rows, long version, List<String> keys) {
 
   /** A missing list of rows is none. */
-  TableNews {
+  TableUpdate {
     rows = rows == null ? List.of() : List.copyOf(rows);
   }
 
@@ -31,15 +31,15 @@
   }
 
   /** The whole table. */
-  static TableNews whole(FeedAnswer table) {
-    return new TableNews(table.rows(), table.version(), null);
+  static TableUpdate whole(FeedAnswer table) {
+    return new TableUpdate(table.rows(), table.version(), null);
   }
 
   /** What has changed in a table since a position. */
-  static TableNews since(long position, FeedAnswer table) {
+  static TableUpdate since(long position, FeedAnswer table) {
     List<FeedRow> changed = table.rows().stream().filter(row -> row.version() > position).toList();
     List<String> all = table.rows().stream().map(FeedRow::key).toList();
-    return new TableNews(changed, table.version(), all);
+    return new TableUpdate(changed, table.version(), all);
   }
 
   /**
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
@@ -9,7 +9,7 @@
  *
  * @param node name of this node
  */
-record UsageFleet(RelayOverlay overlay, Dispatcher dispatcher, PeerTalk talk, String node)
+record UsageFleet(RelayOverlay overlay, Dispatcher dispatcher, PeerMessenger messenger, String node)
     implements UsageTally.Fleet {
 
   @Override
@@ -29,6 +29,6 @@
 
   @Override
   public void tell(UsageNews news) {
-    talk.usageMessages(news);
+    messenger.sendUsage(news);
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DispatchFaultTest.java
@@ -232,7 +232,7 @@
       }
       assertThat(gateway.ready()).isFalse();
       assertThat(within(ask(gateway, false))).as("nothing more is taken").isEqualTo(503);
-      assertThat(within(exit)).isEqualTo(ProcessEnd.DUTY_FAILED);
+      assertThat(within(exit)).isEqualTo(ProcessExit.DUTY_FAILED);
       assertThat(gateway.inFlight()).isZero();
     }
   }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
@@ -256,8 +256,8 @@
           @Override
           public void onReachable(boolean reachable) {}
         };
-    RowFollower.Others others =
-        new RowFollower.Others() {
+    RowFollower.PeerReports others =
+        new RowFollower.PeerReports() {
           @Override
           public long newestChange() {
             return 0;
@@ -291,7 +291,7 @@
     RowFollower.Sources sources = new RowFollower.Sources(new OneRow(), nobody, others);
     Duration bound = Duration.ofSeconds(5);
     RowFollower.Times times =
-        new RowFollower.Times(Duration.ZERO, FollowBounds.of(bound, bound), new NewsBell());
+        new RowFollower.Times(Duration.ZERO, FollowBounds.of(bound, bound), new ChangeSignal());
     try (RowFollower follower =
         new RowFollower("t", sources, rows, log, new FollowCounts(), times)) {
       follower.start(listener);
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
@@ -111,7 +111,7 @@
 
   @Test
   void tableOfAnEarlierBuildIsTakenWhole() throws Exception {
-    TableNews news = new JsonCodec().decode(recorded("table.json"), TableNews.class);
+    TableUpdate news = new JsonCodec().decode(recorded("table.json"), TableUpdate.class);
     FeedAnswer known = new FeedAnswer(List.of(new FeedRow("e-0", 3, "", false)), 3);
     FeedAnswer taken = news.appliedTo(known).orElseThrow();
     assertThat(taken.version()).isEqualTo(12);
@@ -122,7 +122,7 @@
   @Test
   void tableThatIsToldAnEarlierBuildIsOfTheSameForm() throws Exception {
     FeedAnswer table = new JsonCodec().decode(recorded("table.json"), FeedAnswer.class);
-    JsonNode told = json.readTree(new JsonCodec().encode(TableNews.whole(table)));
+    JsonNode told = json.readTree(new JsonCodec().encode(TableUpdate.whole(table)));
     ((ObjectNode) told).remove("keys");
     assertThat(told).isEqualTo(json.readTree(recorded("table.json")));
   }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/NodeEndTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/FatalFaultHandlerTest.java
@@ -10,7 +10,7 @@
 import org.fallturn.node.duty.FaultAnswer;
 import org.junit.jupiter.api.Test;
 
-class NodeEndTest {
+class FatalFaultHandlerTest {
 
   private static final Duration LONGEST = Duration.ofSeconds(30);
   private static final Error FAULT = new NoClassDefFoundError("a/B");
@@ -20,14 +20,14 @@
   private final GatewayState state = new GatewayState(null, 0, Optional.empty());
   private boolean giveUpFails;
 
-  private final NodeEnd end =
-      new NodeEnd(
+  private final FatalFaultHandler end =
+      new FatalFaultHandler(
           state,
           new DecisionLog(metrics),
           code -> steps.add("exit " + code),
-          new NodeEnd.Work() {
+          new FatalFaultHandler.ShutdownSteps() {
             @Override
-            public void giveUp() {
+            public void stopDuties() {
               steps.add("give up");
               if (giveUpFails) {
                 throw new OutOfMemoryError("thrown by a test");
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerPortsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerPortsTest.java
@@ -22,15 +22,15 @@
 
   private static void close(PeerPorts ports) throws IOException {
     ports.datagrams().close();
-    ports.questions().close();
+    ports.requests().close();
   }
 
   @Test
   void bindsOneNumberOverBoth() throws Exception {
     PeerPorts ports = PeerPorts.bind(new NetworkAddress(HOST, 0));
     try {
-      InetSocketAddress questions = (InetSocketAddress) ports.questions().getLocalAddress();
-      assertThat(questions.getPort()).isEqualTo(ports.address().port()).isPositive();
+      InetSocketAddress requests = (InetSocketAddress) ports.requests().getLocalAddress();
+      assertThat(requests.getPort()).isEqualTo(ports.address().port()).isPositive();
     } finally {
       close(ports);
     }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerSnapshotsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerSnapshotsTest.java
@@ -84,18 +84,18 @@
 
   @Test
   void onlyWhatIsNewerThanTheKnownPositionIsTold() throws Exception {
-    told.keep(TABLE, tracker(changed()));
-    TableNews news =
+    told.update(TABLE, tracker(changed()));
+    TableUpdate news =
         new JsonCodec()
-            .decode(body("/tables/engines?after=" + ROWS).getBytes(UTF_8), TableNews.class);
+            .decode(body("/tables/engines?after=" + ROWS).getBytes(UTF_8), TableUpdate.class);
     assertThat(news.rows()).extracting(FeedRow::key).containsExactlyInAnyOrder("e-1", "e-new");
     assertThat(news.keys()).hasSize(ROWS);
   }
 
   @Test
   void theAskersTableBecomesTheOther() throws Exception {
-    told.keep(TABLE, tracker(changed()));
-    asking.keep(TABLE, tracker(new FeedAnswer(rows(ROWS), ROWS)));
+    told.update(TABLE, tracker(changed()));
+    asking.update(TABLE, tracker(new FeedAnswer(rows(ROWS), ROWS)));
     FeedAnswer learned = asking.rows(TABLE).askAny();
     assertThat(learned.version()).isEqualTo(ROWS + 3);
     assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
@@ -103,8 +103,8 @@
 
   @Test
   void nodeThatIsBehindChangesNothing() throws Exception {
-    told.keep(TABLE, tracker(new FeedAnswer(rows(3), 3)));
-    asking.keep(TABLE, tracker(changed()));
+    told.update(TABLE, tracker(new FeedAnswer(rows(3), 3)));
+    asking.update(TABLE, tracker(changed()));
     FeedAnswer learned = asking.rows(TABLE).askAny();
     assertThat(learned.version()).isEqualTo(ROWS + 3);
     assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
@@ -112,7 +112,7 @@
 
   @Test
   void nodeThatKnowsNothingLearnsTheWholeTable() throws Exception {
-    told.keep(TABLE, tracker(changed()));
+    told.update(TABLE, tracker(changed()));
     FeedAnswer learned = asking.rows(TABLE).askAny();
     assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
   }
@@ -120,8 +120,8 @@
   /** A row that was missed before the position is not told again as newer. */
   @Test
   void tableWithAGapIsReadWhole() throws Exception {
-    told.keep(TABLE, tracker(changed()));
-    asking.keep(TABLE, tracker(new FeedAnswer(rows(ROWS - 2), ROWS)));
+    told.update(TABLE, tracker(changed()));
+    asking.update(TABLE, tracker(new FeedAnswer(rows(ROWS - 2), ROWS)));
     FeedAnswer learned = asking.rows(TABLE).askAny();
     assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
   }
@@ -131,7 +131,7 @@
   void wholeTableOfAnEarlierBuildIsTaken() throws Exception {
     String earlier =
         "{\"rows\":[{\"key\":\"e-7\",\"version\":9,\"value\":\"v\",\"gone\":false}],\"version\":12}";
-    TableNews news = new JsonCodec().decode(earlier.getBytes(UTF_8), TableNews.class);
+    TableUpdate news = new JsonCodec().decode(earlier.getBytes(UTF_8), TableUpdate.class);
     FeedAnswer known = new FeedAnswer(rows(3), 3);
     assertThat(news.appliedTo(known))
         .contains(new FeedAnswer(List.of(new FeedRow("e-7", 9, "v", false)), 12));
@@ -140,7 +140,7 @@
   /** And they ask without a position, and read an answer of rows and a version. */
   @Test
   void whoNamesNoPositionIsToldTheWholeTable() throws Exception {
-    told.keep(TABLE, tracker(changed()));
+    told.update(TABLE, tracker(changed()));
     for (String path : List.of("/tables/engines", "/tables/engines?after=soon")) {
       FeedAnswer answer = new JsonCodec().decode(body(path).getBytes(UTF_8), FeedAnswer.class);
       assertThat(answer.rows()).hasSize(ROWS);
@@ -154,8 +154,8 @@
   @Test
   void whatIsTooLargeForTheLinksOfNodesIsNotTold() throws Exception {
     FeedRow large = new FeedRow("e-1", ROWS + 1, "x".repeat(20_000), false);
-    told.keep(TABLE, tracker(new FeedAnswer(List.of(large), ROWS + 1)));
-    asking.keep(TABLE, tracker(new FeedAnswer(rows(1), 1)));
+    told.update(TABLE, tracker(new FeedAnswer(List.of(large), ROWS + 1)));
+    asking.update(TABLE, tracker(new FeedAnswer(rows(1), 1)));
     assertThatThrownBy(() -> asking.rows(TABLE).ask(peers.get(0)))
         .isInstanceOf(TableTooLargeException.class);
     assertThat(asking.rows(TABLE).askAny().rows()).containsExactly(large);
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/LogStoryTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/RequestTimelineTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class LogStoryTest {
+class RequestTimelineTest {
 
   @TempDir private Path folder;
 
@@ -44,7 +44,7 @@
             "two.log",
             line(5, "event", "ENGINES_CHANGED", "engines", "8"),
             line(70, "event", "REFUSED_AT_DOOR", "request", "r", "kind", "STOPPING"));
-    List<String> story = LogStory.of(List.of(one, two), "r");
+    List<String> story = RequestTimeline.of(List.of(one, two), "r");
     assertThat(story).hasSize(5);
     assertThat(story.get(0)).contains("two.log", "ENGINES_CHANGED", "engines=8");
     assertThat(story.get(1)).contains("one.log", "ROUTING_CHANGED", "version=5");
@@ -65,7 +65,7 @@
         log(
             "two.log",
             line(90, "event", "REFUSED", "request", "r", "content", "c1", "kind", "QUARANTINED"));
-    List<String> story = LogStory.of(List.of(one, two), "r");
+    List<String> story = RequestTimeline.of(List.of(one, two), "r");
     assertThat(story).hasSize(3);
     assertThat(story.get(0)).contains("-80.0 ms", "one.log", "engine=e-1");
     assertThat(story.get(1)).contains("standing=QUARANTINED");
@@ -82,7 +82,7 @@
             line(30, "event", "ENGINE_RESTS", "engine", "e-3", "restMs", "50"),
             line(40, "event", "ENGINE_LEAVES", "engine", "e-4", "source", "LIST"),
             line(100, "event", "REFUSED", "request", "r", "kind", "NO_CAPACITY"));
-    List<String> story = LogStory.of(List.of(one), "r");
+    List<String> story = RequestTimeline.of(List.of(one), "r");
     assertThat(story).hasSize(4);
     assertThat(story.get(0)).contains("ENGINE_LEAVES", "engine=e-1", "source=ANSWER");
     assertThat(story.get(1)).contains("ENGINE_RESTS", "engine=e-2", "restMs=3000");
@@ -93,11 +93,11 @@
   @Test
   void takesTheProcessFromWhatStandsBeforeTheObject() throws Exception {
     Path all = log("all", "  1.5 node-7 " + line(1, "event", "PLACED", "request", "r"));
-    assertThat(LogStory.of(List.of(all), "r").get(0)).contains("node-7");
+    assertThat(RequestTimeline.of(List.of(all), "r").get(0)).contains("node-7");
   }
 
   @Test
   void unknownRequestHasNoStory() throws Exception {
-    assertThat(LogStory.of(List.of(log("empty")), "r")).isEmpty();
+    assertThat(RequestTimeline.of(List.of(log("empty")), "r")).isEmpty();
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/RowFollowerTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/RowFollowerTest.java
@@ -76,7 +76,7 @@
 
   private static RowFollower.Times times(Duration longestWait) {
     return new RowFollower.Times(
-        Duration.ZERO, FollowBounds.of(longestWait, longestWait), new NewsBell());
+        Duration.ZERO, FollowBounds.of(longestWait, longestWait), new ChangeSignal());
   }
 
   /** Other nodes that know nothing of the table. */
@@ -132,7 +132,7 @@
   }
 
   /** What other nodes tell. */
-  private static final class ToldChanges implements RowFollower.Others {
+  private static final class ToldChanges implements RowFollower.PeerReports {
     private final AtomicLong newest = new AtomicLong();
     private final WatchOrder order;
     private volatile boolean told;
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/TurnedAwayNodeTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/StoreRefusesNodeTest.java
@@ -26,7 +26,7 @@
  * nodes: keys were taken away meanwhile, and the nodes that were turned away went on serving them,
  * since they asked others only while they knew nothing at all.
  */
-class TurnedAwayNodeTest {
+class StoreRefusesNodeTest {
 
   private static final Duration LONGEST = Duration.ofSeconds(10);
   private static final Duration KEY_LIFETIME = Duration.ofMillis(300);
@@ -39,14 +39,14 @@
   private final RowFollower follower =
       new RowFollower(
           "routing",
-          new RowFollower.Sources(new Store(), new Peer(), new Others()),
+          new RowFollower.Sources(new Store(), new Peer(), new PeerReports()),
           new Believer(),
           log,
           new FollowCounts(),
           new RowFollower.Times(
               Duration.ZERO,
               FollowBounds.of(Duration.ofMillis(50), Duration.ofMillis(50)),
-              new NewsBell()));
+              new ChangeSignal()));
 
   private static FeedAnswer table(long version) {
     return new FeedAnswer(List.of(new FeedRow("config", version, "", false)), version);
@@ -99,7 +99,7 @@
     public void onReachable(boolean reachable) {}
   }
 
-  private final class Others implements RowFollower.Others {
+  private final class PeerReports implements RowFollower.PeerReports {
 
     @Override
     public long newestChange() {
@@ -132,7 +132,7 @@
     turnedAway.set(true);
     newestChange.set(7);
     await().atMost(LONGEST).until(() -> believed.get() == 7);
-    assertThat(follower.knowsOfNewer()).isFalse();
+    assertThat(follower.knowsOfNewerChange()).isFalse();
   }
 
   @Test
