--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/ChangeSignal.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/ChangeSignal.java
@@ -4,12 +4,12 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Lets one thread wait for something that others learn, without looking for it time and again.
- * Thread-safe.
+ * A condition that the thread of a table follower waits on until another thread signals a change,
+ * so that it need not poll. Thread-safe.
  */
 final class ChangeSignal implements RowFollower.Pause {
 
-  /** Something was learned: whoever waits looks again whether it is what it waits for. */
+  /** Wakes all waiting threads; each checks its own condition again. */
   synchronized void signal() {
     notifyAll();
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecodedRows.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecodedRows.java
@@ -10,20 +10,21 @@
 import org.fallturn.node.json.MalformedMessageException;
 
 /**
- * The rows of a table as they were read, each once for each time that it was written: a change of
- * one engine costs no reading of all others, and a row that cannot be read is logged once. Holds no
- * more rows than the table. One thread calls.
+ * Decodes the rows of a table and caches the result by key and row version. So a change of one
+ * engine does not decode the rows of all others again, and a row that cannot be decoded is logged
+ * once per version. The cache holds no more rows than the table. Not thread-safe: a single thread
+ * calls it.
  *
- * @param <T> what a row means
+ * @param <T> type of a decoded row
  */
 final class DecodedRows<T> {
 
   private final String table;
   private final RowDecoder<T> decoder;
   private final DecisionLog log;
-  private Map<String, Decoded<T>> known = Map.of();
+  private Map<String, Decoded<T>> decodedByKey = Map.of();
 
-  /** A row at one of its versions; without a value when it could not be read. */
+  /** A decoded row; the value is empty when the row could not be decoded. */
   private record Decoded<T>(long version, Optional<T> value) {}
 
   DecodedRows(String table, RowDecoder<T> decoder, DecisionLog log) {
@@ -32,18 +33,22 @@
     this.log = log;
   }
 
-  /** What the rows mean that can be read; those that cannot are left out. */
+  /**
+   * Returns the decoded values of the rows; rows that cannot be decoded are left out.
+   *
+   * @param rows all rows of the table; cached rows that are not among them are forgotten
+   */
   List<T> read(Collection<FeedRow> rows) {
     Map<String, Decoded<T>> next = new HashMap<>();
     List<T> values = new ArrayList<>();
     for (FeedRow row : rows) {
-      Decoded<T> before = known.get(row.key());
+      Decoded<T> before = decodedByKey.get(row.key());
       boolean same = before != null && before.version() == row.version();
       Decoded<T> decoded = same ? before : decode(row);
       next.put(row.key(), decoded);
       decoded.value().ifPresent(values::add);
     }
-    known = next;
+    decodedByKey = next;
     return values;
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/FollowCounts.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/FollowCounts.java
@@ -5,24 +5,27 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What following the tables of the store has cost, by kind. Thread-safe. */
+/**
+ * Counts the calls that following the tables of the store has cost, by kind. Every kind is a
+ * metric. Thread-safe.
+ */
 final class FollowCounts {
 
-  /** What is counted. */
+  /** The kinds of calls and their outcomes. */
   enum Kind {
-    /** The store was asked for a whole table. */
+    /** This node asked the store for a whole table. */
     STORE_WHOLE,
-    /** A watch of the store ended with rows. */
+    /** A watch of the store returned rows. */
     STORE_WATCH_ROWS,
-    /** A watch of the store ended without any. */
+    /** A watch of the store returned no rows. */
     STORE_WATCH_EMPTY,
-    /** This node ended a watch of the store. */
+    /** This node ended a watch of the store before the store answered. */
     STORE_WATCH_ENDED,
-    /** The store did not answer, or refused. */
+    /** A call to the store, or taking its answer, failed. */
     STORE_FAILED,
-    /** Another node was asked and knew something newer. */
+    /** This node asked another node and got newer rows. */
     PEER_ROWS,
-    /** Another node was asked in vain. */
+    /** This node asked another node and got nothing newer. */
     PEER_NOTHING
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
@@ -33,29 +33,34 @@
 import org.fallturn.node.json.MalformedMessageException;
 
 /**
- * Messages between nodes as JSON with short keys, since every node of a fleet hears ten a second. A
- * message:
+ * Encodes and decodes the messages between nodes. They are JSON with keys of one letter to be
+ * short, since every node of a fleet receives ten a second. A message:
  *
  * <pre>
  * {"k":"VIEW","a":"10.1.0.35:7660","z":"zone-1","c":8000,      kind; address, zone, capacity
- *  "n":"edge-1","i":17,"s":5,"m":95,"f":"edge-1",     node, incarnation, sequence, nodes, first node
- *  "e":{"i-7f":"2,0,1,0,120,0,0,500"},     running, streams, suspecting, changing, heard ago, tokens
- *  "d":{"i-7f":2},                         engines that leave unlisted: nodes that know it
- *  "b":{"i-7f":"1,32,0,8,2.2,40,-1"},      limits: nodes, weight, held, sent; a second, named ago, ended ago
+ *  "n":"edge-1","i":17,"s":5,"m":95,"f":"edge-1",     node, incarnation, sequence, number of nodes,
+ *                                          first node that may order stage changes
+ *  "e":{"i-7f":"2,0,1,0,120,0,0,500"},     engines: running, streams, suspecting, changing, ms since
+ *                                          the last sign of life, waiting tokens by urgency level
+ *  "d":{"i-7f":2},                         engines that leave, though their entries do not say so:
+ *                                          number of nodes that know
+ *  "b":{"i-7f":"1,32,0,8,2.2,40,-1"},      limits: nodes, weight, held, sent; requests per second,
+ *                                          ms since announced, ms since ended
  *  "g":{"i-7f":"131,24"},                  paces: time in percent of the usual, tenths of samples
  *  "o":{"llm":"3,350,9,4,140"},            retry budgets: nodes, requests, used, wanted, kept
  *  "p":["i-7f 12 5c1e:800 91bd:410"],      prompts: engine, ready in ms, parts and their tokens
- *  "v":{"llm":0.02},                       time a token in ms, by service
+ *  "v":{"llm":0.02},                       ms per token, by service
  *  "l":["i-7f 40 500 5c1e:800"],           listings: engine, age in ms, least tokens, parts
  *  "q":["1f0a9c4e-77 0 300 -1 true i-7f:12:true"], contents that may crash engines: fingerprint; ms
- *                                     since asked for, confirmed, answered well; stored; crashes
- *  "r":["10.1.0.36:7660 zone-1 8000 90"],  relays, heard so many ms ago
- *  "t":{"routing":57},                     newest change seen, by table
+ *                                     since it was last sent or crashed an engine, was confirmed,
+ *                                     was answered well; stored; crashes: engine, ms ago, gone
+ *  "r":["10.1.0.36:7660 zone-1 8000 90"],  relays: address, zone, capacity, ms since last message
+ *  "t":{"routing":57},                     newest change that any node has seen, by table
  *  "u":{"353445120":{"bakery":4}},         requests that began to run, by window and tenant
- *  "w":true}                               listings are wanted
+ *  "w":true}                               the sender asks for listings
  * </pre>
  *
- * <p>What is empty or false is left out; unknown keys are passed over. Thread-safe.
+ * <p>Empty and false values are left out; unknown keys are ignored. Thread-safe.
  */
 final class PeerCodec {
 
@@ -175,7 +180,10 @@
     out.writeEndObject();
   }
 
-  /** In single precision: the digits of a whole double take longer to read than all the rest. */
+  /**
+   * Writes speeds in single precision, since parsing all digits of a double takes longer than
+   * parsing the rest of the message.
+   */
   private static void writeSpeeds(JsonGenerator out, Map<String, LearnedSpeed> speeds)
       throws IOException {
     if (speeds.isEmpty()) {
@@ -234,14 +242,14 @@
 
   private static String text(LimitDigest limit) {
     RateDigest rate = limit.rate();
-    AnnouncedLimitDigest word = limit.word();
+    AnnouncedLimitDigest announced = limit.word();
     StringJoiner text = new StringJoiner(",");
     for (int number : new int[] {rate.nodes(), rate.weight(), rate.held(), rate.sent()}) {
       text.add(Integer.toString(number));
     }
-    text.add(Double.toString(word.perSecond()));
-    text.add(Integer.toString(word.announcedAgoMillis()))
-        .add(Integer.toString(word.endedAgoMillis()));
+    text.add(Double.toString(announced.perSecond()));
+    text.add(Integer.toString(announced.announcedAgoMillis()))
+        .add(Integer.toString(announced.endedAgoMillis()));
     return text.toString();
   }
 
@@ -287,10 +295,10 @@
     }
   }
 
-  /** What has been read of a message. */
+  /** Parses one message: collects its fields, from which {@link #message} builds it. */
   private static final class Fields {
 
-    private final Map<String, String> single = new HashMap<>();
+    private final Map<String, String> scalars = new HashMap<>();
     private final Map<String, EngineDigest> engines = new HashMap<>();
     private final Map<String, Integer> leaving = new HashMap<>();
     private final Map<String, LimitDigest> limits = new HashMap<>();
@@ -306,7 +314,7 @@
 
     void read(JsonParser in) throws IOException {
       if (in.nextToken() != JsonToken.START_OBJECT) {
-        throw new IllegalArgumentException("no object");
+        throw new IllegalArgumentException("not a JSON object");
       }
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String key = in.currentName();
@@ -314,7 +322,7 @@
         readField(key, in);
       }
       if (in.currentToken() != JsonToken.END_OBJECT) {
-        throw new IllegalArgumentException("cut short");
+        throw new IllegalArgumentException("message is truncated");
       }
     }
 
@@ -334,7 +342,7 @@
         case "r" -> texts(in).forEach(text -> relays.add(peer(text)));
         default -> {
           if (in.currentToken().isScalarValue()) {
-            single.put(key, in.getText());
+            scalars.put(key, in.getText());
           } else {
             in.skipChildren();
           }
@@ -416,7 +424,7 @@
       List<String> texts = new ArrayList<>();
       while (in.nextToken() != JsonToken.END_ARRAY) {
         if (in.currentToken() == null) {
-          throw new IllegalArgumentException("cut short");
+          throw new IllegalArgumentException("message is truncated");
         }
         texts.add(in.getText());
       }
@@ -444,12 +452,12 @@
               Integer.parseInt(fields[1]),
               Integer.parseInt(fields[2]),
               Integer.parseInt(fields[3]));
-      AnnouncedLimitDigest word =
+      AnnouncedLimitDigest announced =
           new AnnouncedLimitDigest(
               Double.parseDouble(fields[4]),
               Integer.parseInt(fields[5]),
               Integer.parseInt(fields[6]));
-      return new LimitDigest(rate, word);
+      return new LimitDigest(rate, announced);
     }
 
     private static BudgetDigest budget(String[] fields) {
@@ -497,26 +505,27 @@
 
     PeerMessage message() {
       leaving.forEach(
-          (id, nodes) -> engines.computeIfPresent(id, (key, told) -> told.withLeaving(nodes)));
+          (id, nodes) -> engines.computeIfPresent(id, (key, digest) -> digest.withLeaving(nodes)));
       limits.forEach(
-          (id, limit) -> engines.computeIfPresent(id, (key, told) -> told.withLimit(limit)));
-      paces.forEach((id, pace) -> engines.computeIfPresent(id, (key, told) -> told.withPace(pace)));
+          (id, limit) -> engines.computeIfPresent(id, (key, digest) -> digest.withLimit(limit)));
+      paces.forEach(
+          (id, pace) -> engines.computeIfPresent(id, (key, digest) -> digest.withPace(pace)));
       PeerInfo sender =
           new PeerInfo(
-              NetworkAddress.parse(needed("a")), needed("z"), Integer.parseInt(needed("c")));
+              NetworkAddress.parse(required("a")), required("z"), Integer.parseInt(required("c")));
       LoadDigest load =
           new LoadDigest(
-              needed("n"),
-              Long.parseLong(needed("i")),
-              Long.parseLong(needed("s")),
-              Integer.parseInt(needed("m")),
-              needed("f"),
+              required("n"),
+              Long.parseLong(required("i")),
+              Long.parseLong(required("s")),
+              Integer.parseInt(required("m")),
+              required("f"),
               engines,
               prompts,
               speeds,
               budgets);
-      MessageKind kind = MessageKind.valueOf(needed("k"));
-      boolean wantsListings = Boolean.parseBoolean(single.get("w"));
+      MessageKind kind = MessageKind.valueOf(required("k"));
+      boolean wantsListings = Boolean.parseBoolean(scalars.get("w"));
       return new PeerMessage(
           kind,
           sender,
@@ -531,10 +540,10 @@
           wantsListings);
     }
 
-    private String needed(String key) {
-      String value = single.get(key);
+    private String required(String key) {
+      String value = scalars.get(key);
       if (value == null) {
-        throw new IllegalArgumentException("no " + key);
+        throw new IllegalArgumentException("missing key " + key);
       }
       return value;
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerExchange.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerExchange.java
@@ -19,8 +19,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries messages between gateways as datagrams, and counts them by kind. Sends on the dispatch
- * thread, receives on its own.
+ * Sends and receives messages between gateways as UDP datagrams, and counts them by kind. The
+ * dispatch thread sends; a thread of its own receives.
  */
 final class PeerExchange implements AutoCloseable {
 
@@ -31,7 +31,7 @@
   private final UdpSocket socket;
   private final Map<MessageKind, LongAdder> messagesSent = counters();
   private final Map<MessageKind, LongAdder> bytesSent = counters();
-  private final LongAdder messagesHeard = new LongAdder();
+  private final LongAdder messagesReceived = new LongAdder();
 
   PeerExchange(DatagramChannel datagrams, Consumer<DispatchEvent> events) throws IOException {
     this.events = events;
@@ -46,43 +46,44 @@
     return counters;
   }
 
-  /** Adds the counts of messages and bytes by kind. */
+  /** Registers the counts of messages and bytes as metrics. */
   void addTo(GatewayMetrics metrics) {
     for (MessageKind kind : MessageKind.values()) {
       String name = kind.name().toLowerCase(Locale.ROOT);
       metrics.gauge("peer_" + name + "_messages_sent", messagesSent.get(kind)::sum);
       metrics.gauge("peer_" + name + "_bytes_sent", bytesSent.get(kind)::sum);
     }
-    metrics.gauge("peer_messages_heard", messagesHeard::sum);
+    metrics.gauge("peer_messages_heard", messagesReceived::sum);
   }
 
-  /** Where datagrams come in, with the real port. */
+  /** The address that datagrams arrive at, with the port that was bound. */
   NetworkAddress address() {
     return socket.address();
   }
 
   /**
-   * Begins to receive.
+   * Starts receiving.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives the exceptions that the receiver does not catch
    */
   void start(FaultListener faults) {
     socket.start(faults);
   }
 
   /**
-   * Sends messages; best effort. A message that follows itself to other targets is written once.
+   * Sends messages; any of them may be lost. Consecutive entries with the same message, for several
+   * targets, are encoded once.
    */
   void send(List<OutgoingPeerMessage> messages) {
-    PeerMessage written = null;
+    PeerMessage encoded = null;
     byte[] datagram = new byte[0];
     for (OutgoingPeerMessage outgoing : messages) {
-      if (outgoing.message() != written) {
-        written = outgoing.message();
-        datagram = codec.encode(written);
+      if (outgoing.message() != encoded) {
+        encoded = outgoing.message();
+        datagram = codec.encode(encoded);
       }
-      messagesSent.get(written.kind()).increment();
-      bytesSent.get(written.kind()).add(datagram.length);
+      messagesSent.get(encoded.kind()).increment();
+      bytesSent.get(encoded.kind()).add(datagram.length);
       socket.send(datagram, outgoing.target());
     }
   }
@@ -90,7 +91,7 @@
   private void receive(byte[] datagram, NetworkAddress from) {
     try {
       PeerMessage message = codec.decode(datagram);
-      messagesHeard.increment();
+      messagesReceived.increment();
       events.accept(new DispatchEvent.PeerMessageReceived(message));
     } catch (MalformedMessageException e) {
       LOG.warn("peers: A datagram from {} is not readable: {}.", from, e.getMessage());
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerMessenger.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerMessenger.java
@@ -13,18 +13,19 @@
 import org.fallturn.core.usage.UsageNews;
 
 /**
- * The dispatch duty's part in what nodes sendDue each other: passes on what is heard to whoever
- * believes it, and sends what is due. Only the dispatch thread calls.
+ * Exchanges messages with other nodes for the dispatch duty: hands the content of a received
+ * message to the parts that use it, and sends messages that are due. Only the dispatch thread
+ * calls.
  */
 final class PeerMessenger {
 
-  private static final long COUNT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long UPDATE_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   private final RelayOverlay overlay;
   private final Dispatcher dispatcher;
   private final CacheSurvey survey;
   private final Consumer<List<OutgoingPeerMessage>> sender;
-  private long countedNanos;
+  private long lastUpdateNanos;
 
   PeerMessenger(
       RelayOverlay overlay,
@@ -38,7 +39,7 @@
     dispatcher.setNodeCount(overlay.conservativeNodeCount(System.nanoTime()));
   }
 
-  /** Another node spoke. */
+  /** Takes a message of another node. */
   void onMessage(PeerMessage message, long nowNanos) {
     overlay.onMessage(message, nowNanos);
     dispatcher.fleet().onPeerReport(message.load(), nowNanos);
@@ -55,18 +56,19 @@
     }
   }
 
-  /** An engine told this node what it keeps. */
+  /** Takes the list of prompt parts that an engine keeps; without parts, it did not answer. */
   void onCacheListed(DispatchEvent.CacheListed answer, long nowNanos) {
     answer
         .parts()
         .ifPresent(
-            kept -> {
+            listing -> {
               long age = TimeUnit.NANOSECONDS.toMillis(nowNanos - answer.askedAtNanos());
-              overlay.addListing(CacheListing.of(answer.engineId(), age, kept.parts()), nowNanos);
+              overlay.addListing(
+                  CacheListing.of(answer.engineId(), age, listing.parts()), nowNanos);
             });
   }
 
-  /** Sends what is due; called at each tick, and when prompts may have been placed. */
+  /** Sends the messages that are due; called at each tick and when prompts may have been placed. */
   void sendDue(long nowNanos) {
     if (dispatcher.fleet().hasNewPrompts()) {
       overlay.addPrompts(dispatcher.fleet().takeNewPrompts());
@@ -83,21 +85,24 @@
             nowNanos));
   }
 
-  /** Tells the others at once. */
+  /** Sends an urgent change to the other nodes now rather than at the next turn. */
   void sendNow(long nowNanos) {
     overlay.onUrgentChange();
     sendDue(nowNanos);
   }
 
-  /** Tells the nodes that collect what this one has counted. */
+  /** Sends this node's usage counts to the nodes that collect them. */
   void sendUsage(UsageNews news) {
     sender.accept(overlay.usageMessages(news));
   }
 
-  /** Takes the number of nodes, and asks engines what they keep. */
+  /**
+   * Updates the number of nodes and asks engines which prompt parts they keep, both at most once
+   * per {@link #UPDATE_INTERVAL_NANOS}; then sends the messages that are due.
+   */
   void onTick(long nowNanos) {
-    if (nowNanos - countedNanos >= COUNT_NANOS) {
-      countedNanos = nowNanos;
+    if (nowNanos - lastUpdateNanos >= UPDATE_INTERVAL_NANOS) {
+      lastUpdateNanos = nowNanos;
       OptionalInt nodes = overlay.conservativeNodeCount(nowNanos);
       dispatcher.setNodeCount(nodes);
       dispatcher.stages().setCandidate(overlay.collects());
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerPorts.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerPorts.java
@@ -8,22 +8,22 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * One port number, bound over UDP for datagrams and over TCP for requests, since a peer knows a
- * single address. Where any port will do, another number is tried when the one that UDP got is
- * taken over TCP.
+ * One port number, bound both for UDP datagrams and for TCP requests of peers, since a peer knows
+ * only one address of a node. When any free port will do and the one that UDP got is in use for
+ * TCP, another is tried.
  *
- * @param datagrams bound over UDP
- * @param requests bound over TCP; accepts nothing yet
+ * @param datagrams the UDP channel, bound
+ * @param requests the TCP channel, bound; it accepts no connections yet
  */
 record PeerPorts(DatagramChannel datagrams, ServerSocketChannel requests) {
 
   private static final int MAX_TRIES = 50;
 
   /**
-   * Binds both.
+   * Binds both channels to the same port number.
    *
-   * @param listen host and port; port 0 takes any number that is free over both
-   * @throws IOException when the given port, or every port tried, cannot be bound
+   * @param listen host and port; port 0 takes any number that is free for both
+   * @throws IOException when the given port, or every port that was tried, cannot be bound
    */
   static PeerPorts bind(NetworkAddress listen) throws IOException {
     int tries = listen.port() == 0 ? MAX_TRIES : 1;
@@ -31,7 +31,7 @@
       try {
         return bindOnce(listen);
       } catch (BindException e) {
-        // The number is taken over TCP: the next attempt gets another.
+        // The port is in use for TCP: the next attempt gets another.
         continue;
       }
     }
@@ -53,7 +53,7 @@
     }
   }
 
-  /** Where both listen, with the real port. */
+  /** The address that both are bound to, with the actual port. */
   NetworkAddress address() throws IOException {
     InetSocketAddress bound = (InetSocketAddress) datagrams.getLocalAddress();
     return new NetworkAddress(bound.getAddress().getHostAddress(), bound.getPort());
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
@@ -30,43 +30,48 @@
 import org.fallturn.node.json.MalformedMessageException;
 
 /**
- * What the nodes can tell a process that cannot reach the store, because it has just started or is
- * turned away: the followed tables. A reading of a table bears the position of the store's history
- * that it holds at, so it can never put back what is known. Thread-safe.
+ * Serves this node's copies of the followed tables to other nodes, and reads theirs. A node needs
+ * them when it cannot reach the store, because it has just started or because the store rejects its
+ * requests. Every copy carries the position in the store's history that it reflects, so that an
+ * older copy never replaces a newer one. Thread-safe.
  */
 final class PeerSnapshots extends Handler.Abstract.NonBlocking {
 
   private static final String PATH_PREFIX = "/tables/";
 
-  /** Names the position that the asker knows, so that only what is newer is told. */
-  private static final String AFTER = "after=";
+  /** Query parameter: the position that the requester has; only later changes are sent. */
+  private static final String AFTER_PARAMETER = "after=";
 
-  /** Names how long an answer the asker wants at the most; builds of before pass it over. */
-  private static final String MOST_BYTES = "Fallturn-Most-Bytes";
+  /** Request header: largest answer in bytes that the requester accepts; older builds ignore it. */
+  private static final String MAX_BYTES_HEADER = "Fallturn-Most-Bytes";
 
   /**
-   * The store has a far better link than a node, over which all that ask would draw the same rows,
-   * and bytes between zones have a price, above so many a higher one than a call to the store.
+   * Above this size in bytes a node reads from the store instead. The store has a far faster link
+   * than a node, whose link all requesters would share to fetch the same rows. Traffic between
+   * zones is charged for, and above this size it costs more than a call to the store.
    */
-  private static final int MOST_BYTES_OF_NEWS = 16 * 1024;
+  private static final int MAX_UPDATE_BYTES = 16 * 1024;
 
   private static final Duration CALL_TIMEOUT = Duration.ofMillis(400);
 
-  /** Of a third of the nodes that a store may turn away at once, rarely all of four are asked. */
-  private static final int PEERS_A_READING = 4;
+  /**
+   * How many peers a read asks at most. The store may reject a third of the nodes at once; four
+   * peers are rarely all among them.
+   */
+  private static final int PEERS_PER_READ = 4;
 
-  private final Map<String, FeedAnswer> known = new ConcurrentHashMap<>();
-  private final Map<String, Encoded> lastEncoded = new ConcurrentHashMap<>();
+  private final Map<String, FeedAnswer> ownTables = new ConcurrentHashMap<>();
+  private final Map<String, Reply> lastReplies = new ConcurrentHashMap<>();
   private final JsonCodec codec = new JsonCodec();
   private final HttpClient client;
   private final Supplier<List<NetworkAddress>> peers;
   private final ToLongFunction<String> newestChange;
-  private final AtomicInteger turn = new AtomicInteger();
+  private final AtomicInteger nextPeerIndex = new AtomicInteger();
 
-  /** What was answered to a question about a table. */
-  private record Encoded(FeedAnswer table, String query, TableUpdate news, Lazy<byte[]> bytes) {}
+  /** The answer to the last request for a table, reused for equal requests. */
+  private record Reply(FeedAnswer table, String query, TableUpdate update, Lazy<byte[]> bytes) {}
 
-  /** A value that is made when it is first asked for, since what is too large is never sent. */
+  /** A value that is computed on first use: an update that is too large need not be encoded. */
   private static final class Lazy<T> {
     private final Supplier<T> maker;
     private T value;
@@ -84,10 +89,11 @@
   }
 
   /**
-   * Snapshots of this node, and a way to those of others.
+   * Creates a handler that holds no tables yet.
    *
-   * @param peers where the other nodes answer
-   * @param newestChange the newest change of a table that any node has seen
+   * @param client sends the requests to other nodes
+   * @param peers addresses of the other nodes that may be asked
+   * @param newestChange returns the newest change of a table, by name, that any node has seen
    */
   PeerSnapshots(
       HttpClient client,
@@ -98,17 +104,17 @@
     this.newestChange = newestChange;
   }
 
-  private TableUpdate call(NetworkAddress peer, String path, int mostBytes) throws StoreException {
+  private TableUpdate call(NetworkAddress peer, String path, int maxBytes) throws StoreException {
     try {
       ContentResponse response =
           client
               .newRequest(peer.host(), peer.port())
               .path(path)
-              .headers(headers -> headers.put(MOST_BYTES, Integer.toString(mostBytes)))
+              .headers(headers -> headers.put(MAX_BYTES_HEADER, Integer.toString(maxBytes)))
               .timeout(CALL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
               .send();
       if (response.getStatus() == HttpStatus.PAYLOAD_TOO_LARGE_413) {
-        throw new TableTooLargeException(peer + " has more to tell of " + path);
+        throw new TableTooLargeException(peer + " has an update too large to send of " + path);
       }
       if (response.getStatus() != HttpStatus.OK_200) {
         throw new StoreException(peer + " does not know " + path, false, null);
@@ -122,70 +128,73 @@
     }
   }
 
-  /** Remembers what this node knows of a table. */
+  /** Stores this node's current copy of a table, which other nodes may read from now on. */
   void update(String table, FeedTracker tracker) {
-    known.put(table, new FeedAnswer(List.copyOf(tracker.rows()), tracker.position()));
+    ownTables.put(table, new FeedAnswer(List.copyOf(tracker.rows()), tracker.position()));
   }
 
-  /** A table as some other node knows it. */
+  /** Returns a reader of the table that asks other nodes. */
   PeerRows rows(String table) {
-    return new Table(table);
+    return new PeerTable(table);
   }
 
   @Override
   public boolean handle(Request request, Response response, Callback callback) {
     String path = Request.getPathInContext(request);
     FeedAnswer answer =
-        path.startsWith(PATH_PREFIX) ? known.get(path.substring(PATH_PREFIX.length())) : null;
+        path.startsWith(PATH_PREFIX) ? ownTables.get(path.substring(PATH_PREFIX.length())) : null;
     if (answer == null) {
       response.setStatus(HttpStatus.NOT_FOUND_404);
       response.write(true, BufferUtil.EMPTY_BUFFER, callback);
       return true;
     }
-    Encoded news = encoded(path, request.getHttpURI().getQuery(), answer);
-    long most = request.getHeaders().getLongField(MOST_BYTES);
-    if (most >= 0 && news.news().leastBytes() > most) {
+    Reply reply = replyTo(path, request.getHttpURI().getQuery(), answer);
+    long most = request.getHeaders().getLongField(MAX_BYTES_HEADER);
+    if (most >= 0 && reply.update().minBytes() > most) {
       response.setStatus(HttpStatus.PAYLOAD_TOO_LARGE_413);
       response.write(true, BufferUtil.EMPTY_BUFFER, callback);
       return true;
     }
-    response.write(true, ByteBuffer.wrap(news.bytes().get()), callback);
+    response.write(true, ByteBuffer.wrap(reply.bytes().get()), callback);
     return true;
   }
 
-  /** Nodes that were told of a change at the same moment ask for the same. */
-  private Encoded encoded(String path, String query, FeedAnswer table) {
-    Encoded last = lastEncoded.get(path);
+  /**
+   * Returns the answer to a request. The last answer is cached, since all nodes that learn of a
+   * change at the same moment send the same request.
+   */
+  private Reply replyTo(String path, String query, FeedAnswer table) {
+    Reply last = lastReplies.get(path);
     if (last != null && last.table() == table && Objects.equals(last.query(), query)) {
       return last;
     }
-    TableUpdate news = news(query, table);
-    Encoded encoded = new Encoded(table, query, news, new Lazy<>(() -> codec.encode(news)));
-    lastEncoded.put(path, encoded);
-    return encoded;
+    TableUpdate update = updateFor(query, table);
+    Reply reply = new Reply(table, query, update, new Lazy<>(() -> codec.encode(update)));
+    lastReplies.put(path, reply);
+    return reply;
   }
 
-  /** A position that is no number is none that anybody knows. */
-  private static TableUpdate news(String query, FeedAnswer table) {
-    if (query == null || !query.startsWith(AFTER)) {
+  /** Returns the whole table when the query names no position or one that is not a number. */
+  private static TableUpdate updateFor(String query, FeedAnswer table) {
+    if (query == null || !query.startsWith(AFTER_PARAMETER)) {
       return TableUpdate.whole(table);
     }
     try {
-      return TableUpdate.since(Long.parseLong(query.substring(AFTER.length())), table);
+      return TableUpdate.since(Long.parseLong(query.substring(AFTER_PARAMETER.length())), table);
     } catch (NumberFormatException e) {
       return TableUpdate.whole(table);
     }
   }
 
   /**
-   * Reads one table from the peers in turn, until one knows its newest change: the next peer may be
-   * turned away by the store as well. Of those asked, the newest reading counts.
+   * Reads one table from the peers in turn until one knows its newest change, since the store may
+   * reject some of the peers as well. Of the answers, the newest counts.
    */
-  private final class Table implements PeerRows {
+  private final class PeerTable implements PeerRows {
 
     private final String table;
 
-    Table(String table) {
+    PeerTable(String table) {
       this.table = table;
     }
 
@@ -212,31 +221,33 @@
 
     @Override
     public FeedAnswer ask(NetworkAddress peer) throws StoreException {
-      return ask(peer, MOST_BYTES_OF_NEWS);
+      return ask(peer, MAX_UPDATE_BYTES);
     }
 
-    /** Nodes mostly ask for what they know, so that only what is newer should be told. */
-    private FeedAnswer ask(NetworkAddress peer, int mostBytes) throws StoreException {
-      FeedAnswer own = known.get(table);
+    /**
+     * Requests only the changes since the own copy, as the requester mostly has nearly all rows.
+     */
+    private FeedAnswer ask(NetworkAddress peer, int maxBytes) throws StoreException {
+      FeedAnswer own = ownTables.get(table);
       if (own == null) {
-        return whole(peer, mostBytes);
+        return whole(peer, maxBytes);
       }
-      String path = PATH_PREFIX + table + "?" + AFTER + own.version();
-      Optional<FeedAnswer> applied = call(peer, path, mostBytes).appliedTo(own);
-      return applied.isPresent() ? applied.get() : whole(peer, mostBytes);
+      String path = PATH_PREFIX + table + "?" + AFTER_PARAMETER + own.version();
+      Optional<FeedAnswer> applied = call(peer, path, maxBytes).appliedTo(own);
+      return applied.isPresent() ? applied.get() : whole(peer, maxBytes);
     }
 
-    private FeedAnswer whole(NetworkAddress peer, int mostBytes) throws StoreException {
-      TableUpdate news = call(peer, PATH_PREFIX + table, mostBytes);
-      return new FeedAnswer(news.rows(), news.version());
+    private FeedAnswer whole(NetworkAddress peer, int maxBytes) throws StoreException {
+      TableUpdate update = call(peer, PATH_PREFIX + table, maxBytes);
+      return new FeedAnswer(update.rows(), update.version());
     }
 
     private List<NetworkAddress> nextPeers() {
-      List<NetworkAddress> known = peers.get();
+      List<NetworkAddress> all = peers.get();
       List<NetworkAddress> next = new ArrayList<>();
-      int first = turn.getAndAdd(PEERS_A_READING);
-      for (int step = 0; step < Math.min(PEERS_A_READING, known.size()); step++) {
-        next.add(known.get(Math.floorMod(first + step, known.size())));
+      int first = nextPeerIndex.getAndAdd(PEERS_PER_READ);
+      for (int step = 0; step < Math.min(PEERS_PER_READ, all.size()); step++) {
+        next.add(all.get(Math.floorMod(first + step, all.size())));
       }
       return next;
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowDecoder.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowDecoder.java
@@ -4,13 +4,18 @@
 import org.fallturn.node.json.MalformedMessageException;
 
 /**
- * Port: reads one row of a followed table. Thread-safe; decides nothing.
+ * Port: decodes one row of a followed table. Implementations are thread-safe and only parse: they
+ * make no decisions.
  *
- * @param <T> what the row means
+ * @param <T> type of the decoded row
  */
 @FunctionalInterface
 public interface RowDecoder<T> {
 
-  /** Reads the row's value. */
+  /**
+   * Decodes the row's value.
+   *
+   * @throws MalformedMessageException when the value cannot be decoded
+   */
   T decode(FeedRow row) throws MalformedMessageException;
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -19,63 +19,74 @@
 import org.fallturn.node.duty.FaultListener;
 
 /**
- * The duty that follows one table of the store on a thread of its own, from the store or from other
- * nodes as {@link FollowPlan} decides. While neither tells anything, what was believed last stays
- * in force.
+ * The duty that keeps this node's copy of one table of the store up to date, on a thread of its
+ * own. It reads changes from the store or from other nodes, as {@link FollowPlan} decides. While
+ * neither can be reached, the last known rows stay in use.
  */
 final class RowFollower implements AutoCloseable {
 
   /**
-   * After a change, before the next is asked for: rows that come in a burst, as when all engines
-   * start, are read together. The pause is doubled while the next change is there already, and ends
-   * when another node knows it, which costs no call.
+   * Pause after a change before the next is asked for, so that changes that come in a burst, as
+   * when all engines start, are read together. The pause doubles each time the next change is
+   * already there, and ends early when another node has seen that change: waiting for its report
+   * costs no call.
    */
-  private static final long GATHER_MILLIS = 250;
+  private static final long BATCH_PAUSE_MILLIS = 250;
 
-  /** A change that is answered sooner was there before it was asked for. */
-  private static final long WAS_THERE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  /** A watch that returns a change sooner than this found it already there. */
+  private static final long ALREADY_THERE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
-  private static final long PAUSE_WHEN_STALE_MILLIS = 200;
+  private static final long STALE_READ_PAUSE_MILLIS = 200;
 
-  /** How long a watch may be behind what other nodes have seen: the store answers in some ms. */
-  private static final long BEHIND_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+  /**
+   * How long a watch may miss a change that other nodes have seen before it is ended: the store
+   * normally answers within a few ms.
+   */
+  private static final long MAX_BEHIND_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final String name;
   private final RowFeed feed;
   private final PeerRows peers;
   private final Listener listener;
   private final DecisionLog log;
-  private final PeerReports others;
+  private final PeerReports peerReports;
   private final Times times;
   private final FollowCounts counts;
   private final FollowPlan plan;
   private final FeedTracker tracker = new FeedTracker();
   private final DutyLoop loop;
-  private volatile boolean owesRows;
+  private volatile boolean deliveryPending;
   private FollowStep.Source source = FollowStep.Source.STORE;
-  private long gatherMillis;
+  private long batchPauseMillis;
   private long behindSinceNanos;
   private boolean behind;
   private volatile boolean closed;
   private volatile boolean reachable = true;
   private volatile boolean confirmed;
   private volatile long confirmedNanos;
-  private volatile long currentNanos = System.nanoTime();
+  private volatile long upToDateNanos = System.nanoTime();
   private volatile long position;
 
-  /** What other nodes tell of the table. Thread-safe. */
+  /** What other nodes report about the table, and what this node reports to them. Thread-safe. */
   interface PeerReports {
 
-    /** The newest change that any of them has seen; 0 when none has. */
+    /** The newest change that any node has seen; 0 when none has. */
     long newestChange();
 
-    /** Time since one of them told that the store had answered; the greatest value for never. */
+    /**
+     * Time in ns since another node reported that the store had answered; {@link Long#MAX_VALUE}
+     * when none has.
+     */
     long sinceConfirmedNanos();
 
-    /** This node's place among those that watch the store. */
+    /** This node's rank among those that watch the store. */
     WatchOrder order();
 
-    /** The store answered this node, when its clock showed this time. */
+    /**
+     * Reports to other nodes that the store answered this node.
+     *
+     * @param storeMillis the store's clock at the answer, in ms
+     */
     void onConfirmed(long storeMillis);
   }
 
@@ -83,33 +94,49 @@
   @FunctionalInterface
   interface Pause {
 
-    /** Returns after so many ms, or sooner once it is so. */
+    /**
+     * Waits.
+     *
+     * @param millis how long to wait at most
+     * @param until ends the wait early once it is true
+     */
     void await(long millis, BooleanSupplier until) throws InterruptedException;
   }
 
-  /** Hears on the follower's thread of what is believed now. */
+  /** Receives changes of the table; called on the follower's thread. */
   interface Listener {
 
-    /** What is believed changed. */
+    /** The known rows changed. */
     void onRows(FeedTracker tracker);
 
-    /** The store was lost, or answers again. */
+    /** The store stopped answering, or answers again. */
     void onReachable(boolean reachable);
   }
 
-  /** Where rows come from, besides this node. */
-  record Sources(RowFeed store, PeerRows peers, PeerReports others) {}
+  /**
+   * Where a follower reads the table.
+   *
+   * @param store the store
+   * @param peers reads the table from other nodes
+   * @param peerReports what other nodes report about the table
+   */
+  record Sources(RowFeed store, PeerRows peers, PeerReports peerReports) {}
 
   /**
-   * How long the follower's thread waits for what.
+   * The waiting times of a follower.
    *
-   * @param maxBatchPause bounds how long a change may wait to be read together with others
-   * @param bounds how old what is known may be
-   * @param pause how the thread waits
+   * @param maxBatchPause longest pause after a change in which further changes are batched, where
+   *     it exceeds the default pause
+   * @param bounds how old the known rows may be
+   * @param pause how the follower's thread waits
    */
   record Times(Duration maxBatchPause, FollowBounds bounds, Pause pause) {}
 
-  /** A follower that has not begun. */
+  /**
+   * Creates a follower; {@link #start()} begins to follow.
+   *
+   * @param name the table's name, as logs and other nodes show it
+   */
   RowFollower(
       String name,
       Sources sources,
@@ -120,7 +147,7 @@
     this.name = name;
     this.feed = sources.store();
     this.peers = sources.peers();
-    this.others = sources.others();
+    this.peerReports = sources.peerReports();
     this.listener = listener;
     this.log = log;
     this.counts = counts;
@@ -129,15 +156,15 @@
     this.loop = new DutyLoop("follow-" + name, this::follow);
   }
 
-  /** Begins; faults are logged only. */
+  /** Starts following; uncaught exceptions are only logged. */
   void start() {
     start(FaultListener.LOGGED);
   }
 
   /**
-   * Begins.
+   * Starts following.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives the exceptions that the duty does not catch
    */
   void start(FaultListener faults) {
     loop.start(faults);
@@ -159,7 +186,7 @@
   }
 
   private void step() throws StoreException, InterruptedException {
-    if (owesRows) {
+    if (deliveryPending) {
       deliver();
     }
     FollowSight sight = sight();
@@ -175,9 +202,9 @@
 
   private FollowSight sight() {
     long now = System.nanoTime();
-    WatchOrder order = others.order();
+    WatchOrder order = peerReports.order();
     tracker.setToldByOthers(!order.alone());
-    long newest = others.newestChange();
+    long newest = peerReports.newestChange();
     FollowSight sight =
         new FollowSight(
             tracker.known(),
@@ -185,10 +212,10 @@
             tracker.position(),
             newest,
             sinceOwnNanos(now),
-            others.sinceConfirmedNanos(),
+            peerReports.sinceConfirmedNanos(),
             order);
-    if (!plan.isBehind(sight, now) && tracker.known() && !owesRows) {
-      currentNanos = now - Math.min(now - currentNanos, ageNanos(now));
+    if (!plan.isBehind(sight, now) && tracker.known() && !deliveryPending) {
+      upToDateNanos = now - Math.min(now - upToDateNanos, ageNanos(now));
     }
     return sight;
   }
@@ -198,7 +225,7 @@
   }
 
   private long ageNanos(long nowNanos) {
-    return Math.min(sinceOwnNanos(nowNanos), others.sinceConfirmedNanos());
+    return Math.min(sinceOwnNanos(nowNanos), peerReports.sinceConfirmedNanos());
   }
 
   private void onSource(FollowStep step) {
@@ -208,17 +235,20 @@
     }
   }
 
-  /** A bell that rings for a change which was known before would wake the thread in vain. */
+  /**
+   * Waits for a newer change than this step has seen: a signal for a change that was known before
+   * must not wake the thread.
+   */
   private void listen(FollowStep step, FollowSight sight) throws InterruptedException {
     long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(step.nanos()));
-    times.pause().await(millis, () -> others.newestChange() > sight.newest());
+    times.pause().await(millis, () -> peerReports.newestChange() > sight.newest());
   }
 
   private void ask(FollowStep step, FollowSight sight) throws InterruptedException {
     times.pause().await(TimeUnit.NANOSECONDS.toMillis(step.nanos()), () -> false);
     long before = tracker.position();
     try {
-      take(askPeer(step.candidate(), sight.order().askable()));
+      applyPeerAnswer(askPeer(step.candidate(), sight.order().askable()));
     } catch (TableTooLargeException e) {
       plan.onTooLarge();
       return;
@@ -234,7 +264,7 @@
     return candidate < 0 ? peers.askAny() : peers.ask(askable.get(candidate));
   }
 
-  private void take(FeedAnswer answer) {
+  private void applyPeerAnswer(FeedAnswer answer) {
     boolean changed = tracker.onWhole(answer, System.nanoTime());
     position = tracker.position();
     if (changed) {
@@ -262,12 +292,12 @@
         deliver();
       }
       if (ended[0]) {
-        onEnded();
+        onWatchEnded();
       } else {
-        onReached(answer, sight);
+        onStoreAnswered(answer, sight);
       }
       if (changed && step.nanos() > 0) {
-        gather(System.nanoTime() - begun);
+        pauseForBatch(System.nanoTime() - begun);
       }
     } catch (HistoryLostException e) {
       log.historyLost(name, tracker.position());
@@ -275,14 +305,17 @@
     }
   }
 
-  /** Rows that the listener failed on are handed over again, and nothing is certain until then. */
+  /**
+   * Hands the rows to the listener. If it throws, the next step hands them over again, and until
+   * then this node does not count as up to date.
+   */
   private void deliver() {
     boolean delivered = false;
     try {
       listener.onRows(tracker);
       delivered = true;
     } finally {
-      owesRows = !delivered;
+      deliveryPending = !delivered;
     }
   }
 
@@ -295,44 +328,51 @@
         : FollowCounts.Kind.STORE_WATCH_ROWS;
   }
 
-  /** A watch that went silent may have missed what others have seen. */
-  private void onEnded() {
+  /** A watch that was ended because it stayed silent may have missed changes that others saw. */
+  private void onWatchEnded() {
     if (behind) {
       tracker.onOutage();
       plan.onSilent();
     }
   }
 
-  private void gather(long answeredWithinNanos) throws InterruptedException {
-    boolean goesOn = answeredWithinNanos < WAS_THERE_NANOS && gatherMillis > 0;
-    long longer =
-        Math.min(2 * gatherMillis, Math.max(GATHER_MILLIS, times.maxBatchPause().toMillis()));
-    gatherMillis = goesOn ? longer : GATHER_MILLIS;
-    times.pause().await(gatherMillis, () -> plan.isBehind(sight(), System.nanoTime()));
+  private void pauseForBatch(long answeredWithinNanos) throws InterruptedException {
+    boolean burstContinues = answeredWithinNanos < ALREADY_THERE_NANOS && batchPauseMillis > 0;
+    long doubled =
+        Math.min(
+            2 * batchPauseMillis, Math.max(BATCH_PAUSE_MILLIS, times.maxBatchPause().toMillis()));
+    batchPauseMillis = burstContinues ? doubled : BATCH_PAUSE_MILLIS;
+    times.pause().await(batchPauseMillis, () -> plan.isBehind(sight(), System.nanoTime()));
   }
 
-  /** Whether other nodes have seen a change that this one does not know; any thread may call. */
+  /** Whether other nodes have seen a change that this node has not read; any thread may call. */
   boolean knowsOfNewerChange() {
-    return others.newestChange() > position;
+    return peerReports.newestChange() > position;
   }
 
   /**
-   * How long ago it was certain that nothing newer is there, in ns; any thread may call. What other
-   * nodes tell counts as much as what the store answers.
+   * Time in ns since this node last was certain that its rows are the newest; any thread may call.
+   * Reports of other nodes count as much as answers of the store.
+   *
+   * @param nowNanos now, on the clock of {@link System#nanoTime}
    */
   long stalenessNanos(long nowNanos) {
-    long current = nowNanos - currentNanos;
-    boolean certain = !owesRows && !knowsOfNewerChange();
+    long current = nowNanos - upToDateNanos;
+    boolean certain = !deliveryPending && !knowsOfNewerChange();
     return certain ? Math.min(current, ageNanos(nowNanos)) : current;
   }
 
-  /** Whether the present watch can be relied on, though the store may have gone silent. */
+  /**
+   * Whether the running watch can still be relied on, though the store may have gone silent.
+   *
+   * @param heldNanos how long the watch has run
+   */
   private boolean isTrusted(long heldNanos) {
     FollowSight sight = sight();
     return !isBehind(sight) && plan.trusts(sight, heldNanos);
   }
 
-  /** Whether others saw a change some time ago that the watch has not brought. */
+  /** Whether others saw a change longer ago than allowed that the watch has not returned. */
   private boolean isBehind(FollowSight sight) {
     if (!plan.isBehind(sight, System.nanoTime())) {
       behind = false;
@@ -342,7 +382,7 @@
       behind = true;
       behindSinceNanos = System.nanoTime();
     }
-    return System.nanoTime() - behindSinceNanos >= BEHIND_NANOS;
+    return System.nanoTime() - behindSinceNanos >= MAX_BEHIND_NANOS;
   }
 
   private void readWhole(FollowSight sight) throws StoreException, InterruptedException {
@@ -355,14 +395,17 @@
       deliver();
     }
     if (stale) {
-      times.pause().await(PAUSE_WHEN_STALE_MILLIS, () -> false);
+      times.pause().await(STALE_READ_PAUSE_MILLIS, () -> false);
     } else {
-      onReached(answer, sight);
+      onStoreAnswered(answer, sight);
     }
   }
 
-  /** PeerReports are told of the changes first: to confirm is to say that there are no more. */
-  private void onReached(FeedAnswer answer, FollowSight before) {
+  /**
+   * The store answered. The listener gets the rows first, and through it other nodes learn of the
+   * changes: a confirmation states that there are no more.
+   */
+  private void onStoreAnswered(FeedAnswer answer, FollowSight before) {
     behind = false;
     confirmedNanos = System.nanoTime();
     confirmed = true;
@@ -371,7 +414,7 @@
       plan.onLooked(before.newest(), tracker.position(), confirmedNanos);
     }
     if (answer.storeMillis() > 0) {
-      others.onConfirmed(answer.storeMillis());
+      peerReports.onConfirmed(answer.storeMillis());
     }
     if (!reachable) {
       reachable = true;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/TableUpdate.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/TableUpdate.java
@@ -9,23 +9,24 @@
 import org.fallturn.core.port.feed.FeedRow;
 
 /**
- * What one node tells another of a table: the whole of it, or what has changed since a position
- * that the other names. Nodes of builds that know no positions ask for the whole table and tell it
- * whatever they are asked, without keys; so where keys are absent, the rows are all rows.
+ * An answer of one node to another about a table: the whole table, or its changes since a position
+ * that the requester names. Older builds know no positions: they request the whole table, and
+ * answer every request with the whole table and without keys. So if keys are absent, the rows are
+ * all rows.
  *
- * @param rows the rows, or those written after the position
- * @param version the position that they hold at
- * @param keys of all rows that are there; null in a whole table
+ * @param rows all rows, or those written after the position
+ * @param version the position in the store's history that the update reaches
+ * @param keys the keys of all rows that the table has at that position; null in a whole table
  */
 record TableUpdate(List<FeedRow> rows, long version, List<String> keys) {
 
-  /** A missing list of rows is none. */
+  /** Takes a missing list of rows as an empty one. */
   TableUpdate {
     rows = rows == null ? List.of() : List.copyOf(rows);
   }
 
-  /** Roughly how long it is as a message, and never more than that; costs no encoding. */
-  int leastBytes() {
+  /** A lower bound of the encoded size, from the lengths of keys and values; encodes nothing. */
+  int minBytes() {
     int bytes = rows.stream().mapToInt(row -> row.key().length() + row.value().length()).sum();
     return keys == null ? bytes : bytes + keys.stream().mapToInt(String::length).sum();
   }
@@ -35,7 +36,7 @@
     return new TableUpdate(table.rows(), table.version(), null);
   }
 
-  /** What has changed in a table since a position. */
+  /** The changes of a table since a position. */
   static TableUpdate since(long position, FeedAnswer table) {
     List<FeedRow> changed = table.rows().stream().filter(row -> row.version() > position).toList();
     List<String> all = table.rows().stream().map(FeedRow::key).toList();
@@ -43,10 +44,11 @@
   }
 
   /**
-   * The whole table, where this is the whole table or it follows from the one that is known.
+   * Applies this update to a known table.
    *
-   * @param known the table at the position that was named
-   * @return empty when a row is there that neither tells
+   * @param known the table at the position that the request named
+   * @return the whole table; empty when it has a row that neither this update nor the known table
+   *     holds
    */
   Optional<FeedAnswer> appliedTo(FeedAnswer known) {
     if (keys == null) {
