--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DecodedRowsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DecodedRowsTest.java
@@ -8,6 +8,7 @@
 import org.fallturn.node.json.MalformedMessageException;
 import org.junit.jupiter.api.Test;
 
+/** Guards against decoding unchanged rows again, and against serving a stale cached row. */
 class DecodedRowsTest {
 
   private final List<String> decoded = new ArrayList<>();
@@ -27,7 +28,7 @@
   }
 
   @Test
-  void aRowIsReadOnceForEachTimeItWasWritten() {
+  void decodesEachVersionOfARowOnce() {
     assertThat(rows.read(List.of(row("a", 1, "x"), row("b", 2, "")))).containsExactly("x");
     assertThat(rows.read(List.of(row("a", 1, "x"), row("b", 2, "")))).containsExactly("x");
     assertThat(rows.read(List.of(row("a", 3, "y"), row("b", 2, "")))).containsExactly("y");
@@ -35,7 +36,7 @@
   }
 
   @Test
-  void aRowThatWasGoneIsReadAnew() {
+  void decodesARowAgainAfterItWasGone() {
     rows.read(List.of(row("a", 1, "x")));
     assertThat(rows.read(List.of())).isEmpty();
     assertThat(rows.read(List.of(row("a", 1, "x")))).containsExactly("x");
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
@@ -27,20 +27,21 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Nodes of two builds run side by side while machines are replaced one after the other, in either
- * direction. The files under {@code builds/} were written by the builds that they are named after
- * and never change. What nodes tell each other may therefore only grow, by these rules:
+ * Checks that messages and tables of an earlier build are still understood, and that the earlier
+ * build understands those of this one. During a rolling upgrade or a rollback nodes of two builds
+ * run side by side. The files under {@code builds/} were written by the builds that they are named
+ * after and never change. The formats may only be extended, by these rules:
  *
  * <ul>
- *   <li>A new fact gets a key of its own. The meaning and the form of a key never change, nor does
- *       the number of places in a text of several, whose last place may be a list.
- *   <li>A key that is absent says nothing: a count is zero, a list is empty, a time was never. It
- *       never ends a duty.
- *   <li>A key that is not known is passed over, and so is not passed on: what must reach every node
- *       is learned by each for itself, or is in a row of the store.
- *   <li>A kind of message that is not known is dropped with its message: kinds are added only for
- *       what nobody else needs.
- *   <li>A table or a row that is read is as new as its position says, whoever tells it.
+ *   <li>New data gets a key of its own. The meaning and the form of a key never change, nor does
+ *       the number of fields in a text of several fields, of which the last may be a list.
+ *   <li>An absent key has a neutral default: a count is zero, a list is empty, a time is never. A
+ *       duty must not stop because a key is absent.
+ *   <li>An unknown key is ignored and so is not forwarded: data that must reach every node is
+ *       either found out by each node itself or is in a row of the store.
+ *   <li>A message of an unknown kind is dropped whole: new kinds may carry only data that nodes of
+ *       earlier builds do not need.
+ *   <li>The position of a table or a row alone says how new it is, whichever node sends it.
  * </ul>
  */
 class EarlierBuildsTest {
@@ -56,10 +57,10 @@
     }
   }
 
-  /** What was said, is read; what is read and said again, the earlier build reads as before. */
+  /** This build decodes a recorded message, and encodes it again to the same JSON. */
   @ParameterizedTest
   @EnumSource(MessageKind.class)
-  void messagesOfAnEarlierBuildAreReadAndSaidInItsWords(MessageKind kind) throws Exception {
+  void messagesOfAnEarlierBuildAreDecodedAndEncodedUnchanged(MessageKind kind) throws Exception {
     byte[] bytes = recorded("message-" + kind + ".json");
     PeerMessage message = codec.decode(bytes);
     assertThat(message.kind()).isEqualTo(kind);
@@ -73,9 +74,9 @@
     assertThat(json.readTree(codec.encode(message))).isEqualTo(json.readTree(bytes));
   }
 
-  /** Beside what the earlier build knows, only whole keys are new. */
+  /** Without its new keys, a message with newer data equals the recorded one. */
   @Test
-  void whatIsNewInAMessageStandsInKeysOfItsOwn() throws Exception {
+  void newDataInAMessageHasItsOwnKeys() throws Exception {
     byte[] bytes = recorded("message-VIEW.json");
     PeerMessage message = codec.decode(bytes);
     Map<String, EngineDigest> engines = new HashMap<>(message.load().engines());
@@ -104,26 +105,26 @@
             message.tables(),
             message.wantsListings());
     assertThat(codec.decode(codec.encode(later))).isEqualTo(later);
-    JsonNode said = json.readTree(codec.encode(later));
-    ((ObjectNode) said).remove(List.of("d", "b", "g", "o"));
-    assertThat(said).isEqualTo(json.readTree(bytes));
+    JsonNode encoded = json.readTree(codec.encode(later));
+    ((ObjectNode) encoded).remove(List.of("d", "b", "g", "o"));
+    assertThat(encoded).isEqualTo(json.readTree(bytes));
   }
 
   @Test
-  void tableOfAnEarlierBuildIsTakenWhole() throws Exception {
-    TableUpdate news = new JsonCodec().decode(recorded("table.json"), TableUpdate.class);
+  void tableOfAnEarlierBuildReplacesTheKnownTable() throws Exception {
+    TableUpdate update = new JsonCodec().decode(recorded("table.json"), TableUpdate.class);
     FeedAnswer known = new FeedAnswer(List.of(new FeedRow("e-0", 3, "", false)), 3);
-    FeedAnswer taken = news.appliedTo(known).orElseThrow();
-    assertThat(taken.version()).isEqualTo(12);
-    assertThat(taken.rows()).extracting(FeedRow::key).containsExactly("e-1", "e-2");
+    FeedAnswer applied = update.appliedTo(known).orElseThrow();
+    assertThat(applied.version()).isEqualTo(12);
+    assertThat(applied.rows()).extracting(FeedRow::key).containsExactly("e-1", "e-2");
   }
 
-  /** The earlier build reads rows and a version, and passes over the rest. */
+  /** The earlier build reads rows and a version, and ignores other keys. */
   @Test
-  void tableThatIsToldAnEarlierBuildIsOfTheSameForm() throws Exception {
+  void wholeTableHasTheFormThatAnEarlierBuildReads() throws Exception {
     FeedAnswer table = new JsonCodec().decode(recorded("table.json"), FeedAnswer.class);
-    JsonNode told = json.readTree(new JsonCodec().encode(TableUpdate.whole(table)));
-    ((ObjectNode) told).remove("keys");
-    assertThat(told).isEqualTo(json.readTree(recorded("table.json")));
+    JsonNode encoded = json.readTree(new JsonCodec().encode(TableUpdate.whole(table)));
+    ((ObjectNode) encoded).remove("keys");
+    assertThat(encoded).isEqualTo(json.readTree(recorded("table.json")));
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerCodecTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerCodecTest.java
@@ -30,6 +30,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Checks that messages between nodes survive encoding and decoding, stay small for a large fleet,
+ * and that malformed ones are rejected with a {@link MalformedMessageException}.
+ */
 class PeerCodecTest {
 
   private final PeerCodec codec = new PeerCodec();
@@ -72,7 +76,7 @@
   }
 
   @Test
-  void aSpeedIsToldInAsManyDigitsAsItIsKnown() throws Exception {
+  void speedsAreEncodedInSinglePrecision() throws Exception {
     double learned = 0.020_481_312_345_678_9;
     LoadDigest load =
         new LoadDigest(
@@ -96,7 +100,7 @@
   }
 
   @Test
-  void whatIsWrittenIsReadAgain() throws Exception {
+  void decodedMessageEqualsTheEncodedOne() throws Exception {
     Map<String, EngineDigest> engines =
         Map.of(
             "i-7f", new EngineDigest(2, 1, List.of(0L, 500L), 1, 3, 120),
@@ -115,10 +119,10 @@
     assertThat(codec.encode(message(engines))).hasSizeLessThan(4_096);
   }
 
-  /** Only engines that differ are told, so that most messages don't grow at all. */
+  /** Only paces that differ from the usual are encoded, so that most messages don't grow at all. */
   @ParameterizedTest
   @CsvSource({"71,63", "112,40"})
-  void wordsOfThePaceOfEnginesCostLittle(int nodes, int engineCount) throws Exception {
+  void pacesOfEnginesAddLittleToAMessage(int nodes, int engineCount) throws Exception {
     Map<String, EngineDigest> engines = new HashMap<>();
     Map<String, EngineDigest> uneven = new HashMap<>();
     for (int engine = 0; engine < engineCount; engine++) {
@@ -134,7 +138,7 @@
   }
 
   @Test
-  void unknownKeysArePassedOver() throws Exception {
+  void unknownKeysAreIgnored() throws Exception {
     String text = new String(codec.encode(message(Map.of())), StandardCharsets.UTF_8);
     String longer = text.replaceFirst("\\{", "{\"x\":{\"y\":[1]},\"z9\":7,");
     assertThat(codec.decode(longer.getBytes(StandardCharsets.UTF_8))).isEqualTo(message(Map.of()));
@@ -157,7 +161,7 @@
         "{\"e\":{\"i-7f\":\"1,2\"}}",
         "{\"o\":{\"llm\":\"1,2\"}}"
       })
-  void whatIsNotAMessageIsRefused(String text) {
+  void malformedMessageIsRejected(String text) {
     assertThatThrownBy(() -> codec.decode(text.getBytes(StandardCharsets.UTF_8)))
         .isInstanceOf(MalformedMessageException.class);
   }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerPortsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerPortsTest.java
@@ -13,11 +13,15 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a gateway that fails to start on any free port, because the number that it got for
+ * UDP is in use for TCP.
+ */
 class PeerPortsTest {
 
   private static final String HOST = "127.0.0.1";
 
-  /** Enough numbers held over TCP that the first choice of UDP is often among them. */
+  /** Number of TCP ports held: enough that the first port that UDP gets is often among them. */
   private static final int HELD = 6_000;
 
   private static void close(PeerPorts ports) throws IOException {
@@ -26,7 +30,7 @@
   }
 
   @Test
-  void bindsOneNumberOverBoth() throws Exception {
+  void bindsTheSamePortForUdpAndTcp() throws Exception {
     PeerPorts ports = PeerPorts.bind(new NetworkAddress(HOST, 0));
     try {
       InetSocketAddress requests = (InetSocketAddress) ports.requests().getLocalAddress();
@@ -37,7 +41,7 @@
   }
 
   @Test
-  void triesAnotherNumberWhenOneIsTakenOverTcp() throws Exception {
+  void triesAnotherPortWhenOneIsInUseForTcp() throws Exception {
     List<ServerSocketChannel> held = new ArrayList<>();
     try {
       for (int count = 0; count < HELD; count++) {
@@ -54,7 +58,7 @@
   }
 
   @Test
-  void refusesGivenNumberThatIsTaken() throws Exception {
+  void failsWhenTheGivenPortIsInUse() throws Exception {
     try (ServerSocket taken = new ServerSocket()) {
       taken.bind(new InetSocketAddress(HOST, 0));
       NetworkAddress address = new NetworkAddress(HOST, taken.getLocalPort());
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerSnapshotsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerSnapshotsTest.java
@@ -20,9 +20,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a node that the store turns away learns from another. It used to be told whole tables, by up
- * to four nodes after each failed call, of which it knew nearly all: 0.77 GB between zones on a day
- * of 63 nodes on which the store turned a third of them away.
+ * Reads a table from another node, as a node does that the store rejects. Guards against sending
+ * the whole table to a node that has nearly all of it: when the store rejects a third of 63 nodes,
+ * and each asks up to four nodes after each failed call, that adds up to 0.77 GB between zones in a
+ * day.
  */
 class PeerSnapshotsTest {
 
@@ -33,13 +34,13 @@
       new org.eclipse.jetty.client.HttpClient();
   private final List<NetworkAddress> peers = new ArrayList<>();
   private final PeerSnapshots asking = new PeerSnapshots(client, () -> peers, table -> 0);
-  private final PeerSnapshots told = new PeerSnapshots(client, List::of, table -> 0);
+  private final PeerSnapshots serving = new PeerSnapshots(client, List::of, table -> 0);
   private HttpListener listener;
 
   @BeforeEach
   void start() throws Exception {
     client.start();
-    listener = new HttpListener("peers", new NetworkAddress("127.0.0.1", 0), 4, told);
+    listener = new HttpListener("peers", new NetworkAddress("127.0.0.1", 0), 4, serving);
     peers.add(listener.address());
   }
 
@@ -67,7 +68,7 @@
     return tracker;
   }
 
-  /** The table of the node that is told, after three changes: one new, one written, one gone. */
+  /** The serving node's table after three changes: a row added, one updated, one removed. */
   private static FeedAnswer changed() {
     List<FeedRow> rows = rows(ROWS);
     rows.remove(5);
@@ -83,64 +84,64 @@
   }
 
   @Test
-  void onlyWhatIsNewerThanTheKnownPositionIsTold() throws Exception {
-    told.update(TABLE, tracker(changed()));
-    TableUpdate news =
+  void onlyChangesAfterTheNamedPositionAreSent() throws Exception {
+    serving.update(TABLE, tracker(changed()));
+    TableUpdate update =
         new JsonCodec()
             .decode(body("/tables/engines?after=" + ROWS).getBytes(UTF_8), TableUpdate.class);
-    assertThat(news.rows()).extracting(FeedRow::key).containsExactlyInAnyOrder("e-1", "e-new");
-    assertThat(news.keys()).hasSize(ROWS);
+    assertThat(update.rows()).extracting(FeedRow::key).containsExactlyInAnyOrder("e-1", "e-new");
+    assertThat(update.keys()).hasSize(ROWS);
   }
 
   @Test
-  void theAskersTableBecomesTheOther() throws Exception {
-    told.update(TABLE, tracker(changed()));
+  void changesAreAppliedToTheRequestersTable() throws Exception {
+    serving.update(TABLE, tracker(changed()));
     asking.update(TABLE, tracker(new FeedAnswer(rows(ROWS), ROWS)));
-    FeedAnswer learned = asking.rows(TABLE).askAny();
-    assertThat(learned.version()).isEqualTo(ROWS + 3);
-    assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
+    FeedAnswer received = asking.rows(TABLE).askAny();
+    assertThat(received.version()).isEqualTo(ROWS + 3);
+    assertThat(received.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
   }
 
   @Test
-  void nodeThatIsBehindChangesNothing() throws Exception {
-    told.update(TABLE, tracker(new FeedAnswer(rows(3), 3)));
+  void answerOfANodeThatIsBehindChangesNothing() throws Exception {
+    serving.update(TABLE, tracker(new FeedAnswer(rows(3), 3)));
     asking.update(TABLE, tracker(changed()));
-    FeedAnswer learned = asking.rows(TABLE).askAny();
-    assertThat(learned.version()).isEqualTo(ROWS + 3);
-    assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
+    FeedAnswer received = asking.rows(TABLE).askAny();
+    assertThat(received.version()).isEqualTo(ROWS + 3);
+    assertThat(received.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
   }
 
   @Test
-  void nodeThatKnowsNothingLearnsTheWholeTable() throws Exception {
-    told.update(TABLE, tracker(changed()));
-    FeedAnswer learned = asking.rows(TABLE).askAny();
-    assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
+  void nodeWithoutTheTableReceivesItWhole() throws Exception {
+    serving.update(TABLE, tracker(changed()));
+    FeedAnswer received = asking.rows(TABLE).askAny();
+    assertThat(received.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
   }
 
-  /** A row that was missed before the position is not told again as newer. */
+  /** A missing row that is older than the requester's position is not among the changes. */
   @Test
   void tableWithAGapIsReadWhole() throws Exception {
-    told.update(TABLE, tracker(changed()));
+    serving.update(TABLE, tracker(changed()));
     asking.update(TABLE, tracker(new FeedAnswer(rows(ROWS - 2), ROWS)));
-    FeedAnswer learned = asking.rows(TABLE).askAny();
-    assertThat(learned.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
+    FeedAnswer received = asking.rows(TABLE).askAny();
+    assertThat(received.rows()).containsExactlyInAnyOrderElementsOf(changed().rows());
   }
 
-  /** Builds that know no positions tell whole tables whatever they are asked, without keys. */
+  /** Builds that know no positions answer every request with the whole table, without keys. */
   @Test
-  void wholeTableOfAnEarlierBuildIsTaken() throws Exception {
+  void wholeTableOfAnEarlierBuildIsAccepted() throws Exception {
     String earlier =
         "{\"rows\":[{\"key\":\"e-7\",\"version\":9,\"value\":\"v\",\"gone\":false}],\"version\":12}";
-    TableUpdate news = new JsonCodec().decode(earlier.getBytes(UTF_8), TableUpdate.class);
+    TableUpdate update = new JsonCodec().decode(earlier.getBytes(UTF_8), TableUpdate.class);
     FeedAnswer known = new FeedAnswer(rows(3), 3);
-    assertThat(news.appliedTo(known))
+    assertThat(update.appliedTo(known))
         .contains(new FeedAnswer(List.of(new FeedRow("e-7", 9, "v", false)), 12));
   }
 
-  /** And they ask without a position, and read an answer of rows and a version. */
+  /** Builds that know no positions send none, and read rows and a version. */
   @Test
-  void whoNamesNoPositionIsToldTheWholeTable() throws Exception {
-    told.update(TABLE, tracker(changed()));
+  void requestWithoutAPositionIsAnsweredWithTheWholeTable() throws Exception {
+    serving.update(TABLE, tracker(changed()));
     for (String path : List.of("/tables/engines", "/tables/engines?after=soon")) {
       FeedAnswer answer = new JsonCodec().decode(body(path).getBytes(UTF_8), FeedAnswer.class);
       assertThat(answer.rows()).hasSize(ROWS);
@@ -148,13 +149,14 @@
   }
 
   /**
-   * A configuration of a thousand routes was drawn by all nodes over the thin link of the one that
-   * watched: the last had it six seconds after the first, beyond every bound.
+   * Guards against many nodes fetching a large change over the slow link of one node: with a
+   * configuration of a thousand routes, the last node had it six seconds after the first, later
+   * than any bound allows.
    */
   @Test
-  void whatIsTooLargeForTheLinksOfNodesIsNotTold() throws Exception {
+  void updateThatIsTooLargeForTheLinkOfANodeIsNotSent() throws Exception {
     FeedRow large = new FeedRow("e-1", ROWS + 1, "x".repeat(20_000), false);
-    told.update(TABLE, tracker(new FeedAnswer(List.of(large), ROWS + 1)));
+    serving.update(TABLE, tracker(new FeedAnswer(List.of(large), ROWS + 1)));
     asking.update(TABLE, tracker(new FeedAnswer(rows(1), 1)));
     assertThatThrownBy(() -> asking.rows(TABLE).ask(peers.get(0)))
         .isInstanceOf(TableTooLargeException.class);
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/RowFollowerTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/RowFollowerTest.java
@@ -20,6 +20,10 @@
 import org.fallturn.core.port.table.StoreException;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Checks when the follower of a table calls the store and when it asks other nodes: it must miss no
+ * change, and must not call the store more often than needed.
+ */
 class RowFollowerTest {
 
   private static final int SCRIPT_LENGTH = 4;
@@ -30,7 +34,7 @@
   private final List<String> steps = new CopyOnWriteArrayList<>();
   private final CountDownLatch done = new CountDownLatch(1);
 
-  /** A table whose second and third reading bring a change, and which then stays as it is. */
+  /** A table whose second and third watch return a change, and which does not change later. */
   private final class ScriptedFeed implements RowFeed {
 
     private int calls;
@@ -64,7 +68,7 @@
     }
   }
 
-  private static RowFollower.Listener deaf() {
+  private static RowFollower.Listener ignoringListener() {
     return new RowFollower.Listener() {
       @Override
       public void onRows(FeedTracker tracker) {}
@@ -79,8 +83,8 @@
         Duration.ZERO, FollowBounds.of(longestWait, longestWait), new ChangeSignal());
   }
 
-  /** Other nodes that know nothing of the table. */
-  private static final class UnknowingPeers implements PeerRows {
+  /** Other nodes that do not have the table. */
+  private static final class PeersWithoutTheTable implements PeerRows {
     @Override
     public FeedAnswer askAny() throws StoreException {
       throw new StoreException("nobody knows", false, null);
@@ -92,23 +96,23 @@
     }
   }
 
-  private RowFollower follower(RowFeed feed, PeerRows peers, ToldChanges others, Duration bound) {
-    return follower(feed, peers, others, times(bound));
+  private RowFollower follower(RowFeed feed, PeerRows peers, StubReports reports, Duration bound) {
+    return follower(feed, peers, reports, times(bound));
   }
 
   private RowFollower follower(
-      RowFeed feed, PeerRows peers, ToldChanges others, RowFollower.Times times) {
+      RowFeed feed, PeerRows peers, StubReports reports, RowFollower.Times times) {
     return new RowFollower(
         "t",
-        new RowFollower.Sources(feed, peers, others),
-        deaf(),
+        new RowFollower.Sources(feed, peers, reports),
+        ignoringListener(),
         new DecisionLog(new GatewayMetrics()),
         counts,
         times);
   }
 
   @Test
-  void rowsThatComeInABurstAreReadTogetherAfterAPause() throws Exception {
+  void changesInABurstAreReadTogetherAfterAPause() throws Exception {
     RowFeed feed = new ScriptedFeed();
     RowFollower.Times times =
         new RowFollower.Times(
@@ -116,7 +120,8 @@
             FollowBounds.of(Duration.ofSeconds(5), Duration.ofSeconds(5)),
             (millis, until) -> steps.add("pause of " + millis));
     try (RowFollower follower =
-        follower(feed, new UnknowingPeers(), new ToldChanges(WatchOrder.ofOne(false)), times)) {
+        follower(
+            feed, new PeersWithoutTheTable(), new StubReports(WatchOrder.ofOne(false)), times)) {
       follower.start();
       assertThat(done.await(20, TimeUnit.SECONDS)).isTrue();
     }
@@ -131,13 +136,13 @@
             "changes within 5");
   }
 
-  /** What other nodes tell. */
-  private static final class ToldChanges implements RowFollower.PeerReports {
+  /** Reports of other nodes that a test sets. */
+  private static final class StubReports implements RowFollower.PeerReports {
     private final AtomicLong newest = new AtomicLong();
     private final WatchOrder order;
-    private volatile boolean told;
+    private volatile boolean confirmed;
 
-    ToldChanges(WatchOrder order) {
+    StubReports(WatchOrder order) {
       this.order = order;
     }
 
@@ -148,7 +153,7 @@
 
     @Override
     public long sinceConfirmedNanos() {
-      return told ? 0 : Long.MAX_VALUE;
+      return confirmed ? 0 : Long.MAX_VALUE;
     }
 
     @Override
@@ -160,18 +165,18 @@
     public void onConfirmed(long storeMillis) {}
   }
 
-  /** The order of a node in a fleet of nine. */
+  /** The watch order of a node of the given rank in a fleet of nine. */
   private static WatchOrder ranked(int rank) {
     return new WatchOrder(rank, 9, false, true, List.of(PEER, PEER));
   }
 
-  /** A table whose watch went silent, so that only a whole reading shows its change. */
+  /** A table whose watch returns nothing, so that only a whole read shows its change. */
   private final class SilentFeed implements RowFeed {
-    private final ToldChanges others;
+    private final StubReports reports;
     private volatile long version = 1;
 
-    SilentFeed(ToldChanges others) {
-      this.others = others;
+    SilentFeed(StubReports reports) {
+      this.reports = reports;
     }
 
     @Override
@@ -187,7 +192,7 @@
     public FeedAnswer changesAfter(long after, Duration wait, BooleanSupplier stillWanted) {
       steps.add("watch for " + wait.toSeconds());
       version = 2;
-      others.newest.set(2);
+      reports.newest.set(2);
       while (stillWanted.getAsBoolean()) {
         Thread.onSpinWait();
       }
@@ -196,12 +201,12 @@
   }
 
   @Test
-  void watchThatMissesAChangeThatOthersSawIsEndedAndTheTableReadWhole() throws Exception {
-    ToldChanges others = new ToldChanges(ranked(1));
-    others.told = true;
-    RowFeed feed = new SilentFeed(others);
+  void watchThatMissesAChangeSeenByOthersIsEndedAndTheTableIsReadWhole() throws Exception {
+    StubReports reports = new StubReports(ranked(1));
+    reports.confirmed = true;
+    RowFeed feed = new SilentFeed(reports);
     try (RowFollower follower =
-        follower(feed, new UnknowingPeers(), others, Duration.ofSeconds(5))) {
+        follower(feed, new PeersWithoutTheTable(), reports, Duration.ofSeconds(5))) {
       follower.start();
       assertThat(done.await(20, TimeUnit.SECONDS)).isTrue();
     }
@@ -210,9 +215,9 @@
   }
 
   @Test
-  void watchIsTrustedForItsOwnTimeOnlyOnceNobodyTellsOfChanges() throws Exception {
-    ToldChanges others = new ToldChanges(ranked(1));
-    others.told = true;
+  void silentWatchEndsAtItsOwnLimitOnceOtherNodesNoLongerConfirm() throws Exception {
+    StubReports reports = new StubReports(ranked(1));
+    reports.confirmed = true;
     RowFeed feed =
         new RowFeed() {
           @Override
@@ -225,7 +230,7 @@
           public FeedAnswer changesAfter(long after, Duration wait, BooleanSupplier stillWanted) {
             steps.add("watch");
             assertThat(stillWanted.getAsBoolean()).isTrue();
-            others.told = false;
+            reports.confirmed = false;
             while (stillWanted.getAsBoolean()) {
               Thread.onSpinWait();
             }
@@ -234,15 +239,15 @@
           }
         };
     try (RowFollower follower =
-        follower(feed, new UnknowingPeers(), others, Duration.ofMillis(50))) {
+        follower(feed, new PeersWithoutTheTable(), reports, Duration.ofMillis(50))) {
       follower.start();
       assertThat(done.await(20, TimeUnit.SECONDS)).isTrue();
     }
     assertThat(List.copyOf(steps).subList(0, 2)).containsExactly("whole", "watch");
   }
 
-  /** Nodes that have seen one change more than the store tells this node. */
-  private final class KnowingPeers implements PeerRows {
+  /** Nodes that have one change more than the store returns to this node. */
+  private final class PeersWithANewerRow implements PeerRows {
     @Override
     public FeedAnswer askAny() {
       return ask(PEER);
@@ -257,14 +262,14 @@
   }
 
   @Test
-  void nodeThatDoesNotWatchAsksOthersForAChangeThatTheyTellOf() throws Exception {
-    ToldChanges others = new ToldChanges(ranked(5));
-    others.told = true;
+  void nodeThatDoesNotWatchAsksOthersForAChangeThatTheyReport() throws Exception {
+    StubReports reports = new StubReports(ranked(5));
+    reports.confirmed = true;
     try (RowFollower follower =
-        follower(new ScriptedFeed(), new KnowingPeers(), others, Duration.ofSeconds(5))) {
+        follower(new ScriptedFeed(), new PeersWithANewerRow(), reports, Duration.ofSeconds(5))) {
       follower.start();
       await().atMost(Duration.ofSeconds(20)).until(() -> steps.contains("whole"));
-      others.newest.set(2);
+      reports.newest.set(2);
       assertThat(done.await(20, TimeUnit.SECONDS)).isTrue();
     }
     assertThat(steps).containsExactly("whole", "asked");
@@ -272,33 +277,33 @@
   }
 
   @Test
-  void announcedChangeThatNoOtherNodeKnowsIsLookedForInTheStoreOnce() throws Exception {
-    ToldChanges others = new ToldChanges(ranked(5));
-    others.told = true;
-    AtomicLong looks = new AtomicLong();
+  void reportedChangeThatNoOtherNodeHasIsReadFromTheStoreOnce() throws Exception {
+    StubReports reports = new StubReports(ranked(5));
+    reports.confirmed = true;
+    AtomicLong watches = new AtomicLong();
     RowFeed feed =
         new RowFeed() {
           @Override
           public FeedAnswer snapshot() {
-            others.newest.set(9);
+            reports.newest.set(9);
             return new FeedAnswer(List.of(), 1, 1L);
           }
 
           @Override
           public FeedAnswer changesAfter(long after, Duration wait, BooleanSupplier stillWanted) {
-            looks.incrementAndGet();
-            others.newest.set(10);
+            watches.incrementAndGet();
+            reports.newest.set(10);
             return new FeedAnswer(List.of(), after, 2L);
           }
         };
-    PeerRows peers = new UnknowingPeers();
-    try (RowFollower follower = follower(feed, peers, others, Duration.ofSeconds(5))) {
+    PeerRows peers = new PeersWithoutTheTable();
+    try (RowFollower follower = follower(feed, peers, reports, Duration.ofSeconds(5))) {
       follower.start();
-      await().atMost(Duration.ofSeconds(20)).until(() -> looks.get() == 2);
+      await().atMost(Duration.ofSeconds(20)).until(() -> watches.get() == 2);
       await()
           .during(Duration.ofMillis(200))
           .atMost(Duration.ofSeconds(20))
-          .until(() -> looks.get() == 2);
+          .until(() -> watches.get() == 2);
     }
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/StoreRefusesNodeTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/StoreRefusesNodeTest.java
@@ -22,25 +22,26 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A store turned a third of the nodes away for nine seconds and served the operator and the other
- * nodes: keys were taken away meanwhile, and the nodes that were turned away went on serving them,
- * since they asked others only while they knew nothing at all.
+ * Guards against nodes that go on accepting revoked API keys while the store rejects their
+ * requests. It happened when a store rejected a third of the nodes for nine seconds and served the
+ * operator and the other nodes: the rejected nodes missed a revocation, since they asked other
+ * nodes only while they had no rows at all.
  */
 class StoreRefusesNodeTest {
 
-  private static final Duration LONGEST = Duration.ofSeconds(10);
+  private static final Duration MAX_WAIT = Duration.ofSeconds(10);
   private static final Duration KEY_LIFETIME = Duration.ofMillis(300);
 
-  private final AtomicBoolean turnedAway = new AtomicBoolean();
-  private final AtomicBoolean othersTell = new AtomicBoolean(true);
+  private final AtomicBoolean rejecting = new AtomicBoolean();
+  private final AtomicBoolean peersConfirm = new AtomicBoolean(true);
   private final AtomicLong newestChange = new AtomicLong(1);
-  private final AtomicLong believed = new AtomicLong();
+  private final AtomicLong deliveredPosition = new AtomicLong();
   private final DecisionLog log = new DecisionLog(new GatewayMetrics());
   private final RowFollower follower =
       new RowFollower(
           "routing",
-          new RowFollower.Sources(new Store(), new Peer(), new PeerReports()),
-          new Believer(),
+          new RowFollower.Sources(new Store(), new Peer(), new StubReports()),
+          new RecordingListener(),
           log,
           new FollowCounts(),
           new RowFollower.Times(
@@ -52,29 +53,30 @@
     return new FeedAnswer(List.of(new FeedRow("config", version, "", false)), version);
   }
 
+  /** A store that rejects all calls while a test says so. */
   private final class Store implements RowFeed {
 
     @Override
     public FeedAnswer snapshot() throws StoreException {
-      refuseWhenTurnedAway();
+      failWhenRejecting();
       return table(1);
     }
 
     @Override
     public FeedAnswer changesAfter(long after, Duration wait, BooleanSupplier stillWanted)
         throws StoreException {
-      refuseWhenTurnedAway();
+      failWhenRejecting();
       return new FeedAnswer(List.of(), after);
     }
 
-    private void refuseWhenTurnedAway() throws StoreException {
-      if (turnedAway.get()) {
+    private void failWhenRejecting() throws StoreException {
+      if (rejecting.get()) {
         throw new StoreException("busy", false, null);
       }
     }
   }
 
-  /** A node that the store serves. */
+  /** Another node, which the store serves. */
   private final class Peer implements PeerRows {
 
     @Override
@@ -88,18 +90,20 @@
     }
   }
 
-  private final class Believer implements RowFollower.Listener {
+  /** Records the position of the rows that the follower delivered last. */
+  private final class RecordingListener implements RowFollower.Listener {
 
     @Override
     public void onRows(FeedTracker tracker) {
-      believed.set(tracker.position());
+      deliveredPosition.set(tracker.position());
     }
 
     @Override
     public void onReachable(boolean reachable) {}
   }
 
-  private final class PeerReports implements RowFollower.PeerReports {
+  /** Reports of other nodes: they have the newest change, and confirm it while a test says so. */
+  private final class StubReports implements RowFollower.PeerReports {
 
     @Override
     public long newestChange() {
@@ -108,7 +112,7 @@
 
     @Override
     public long sinceConfirmedNanos() {
-      return othersTell.get() ? 0 : Long.MAX_VALUE;
+      return peersConfirm.get() ? 0 : Long.MAX_VALUE;
     }
 
     @Override
@@ -126,31 +130,31 @@
   }
 
   @Test
-  void learnsFromAnotherNodeWhatTheStoreKeepsFromIt() {
+  void readsFromAnotherNodeWhileTheStoreRejectsIt() {
     follower.start();
-    await().atMost(LONGEST).until(() -> believed.get() == 1);
-    turnedAway.set(true);
+    await().atMost(MAX_WAIT).until(() -> deliveredPosition.get() == 1);
+    rejecting.set(true);
     newestChange.set(7);
-    await().atMost(LONGEST).until(() -> believed.get() == 7);
+    await().atMost(MAX_WAIT).until(() -> deliveredPosition.get() == 7);
     assertThat(follower.knowsOfNewerChange()).isFalse();
   }
 
   @Test
-  void keysThatFailClosedAreNotBelievedOnceNobodyCanConfirmThem() {
+  void keysThatFailClosedAreNotTrustedOnceNothingConfirmsThem() {
     GatewayState state = new GatewayState(null, 0, Optional.of(KEY_LIFETIME));
     state.setRouting(follower);
     follower.start();
-    await().atMost(LONGEST).until(() -> believed.get() == 1);
-    await().atMost(LONGEST).until(() -> state.keysAreTrusted(System.nanoTime()));
-    turnedAway.set(true);
-    othersTell.set(false);
-    await().atMost(LONGEST).until(() -> !state.keysAreTrusted(System.nanoTime()));
-    turnedAway.set(false);
-    await().atMost(LONGEST).until(() -> state.keysAreTrusted(System.nanoTime()));
+    await().atMost(MAX_WAIT).until(() -> deliveredPosition.get() == 1);
+    await().atMost(MAX_WAIT).until(() -> state.keysAreTrusted(System.nanoTime()));
+    rejecting.set(true);
+    peersConfirm.set(false);
+    await().atMost(MAX_WAIT).until(() -> !state.keysAreTrusted(System.nanoTime()));
+    rejecting.set(false);
+    await().atMost(MAX_WAIT).until(() -> state.keysAreTrusted(System.nanoTime()));
   }
 
   @Test
-  void keysThatFailOpenStayBelieved() {
+  void keysThatFailOpenStayTrusted() {
     GatewayState state = new GatewayState(null, 0, Optional.empty());
     state.setRouting(follower);
     long muchLater = System.nanoTime() + TimeUnit.HOURS.toNanos(1);
