--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
@@ -40,8 +40,8 @@
  * {"k":"VIEW","a":"10.1.0.35:7660","z":"zone-1","c":8000,      kind; address, zone, capacity
  *  "n":"edge-1","i":17,"s":5,"m":95,"f":"edge-1",     node, incarnation, sequence, number of nodes,
  *                                          first node that may order stage changes
- *  "e":{"i-7f":"2,0,1,0,120,0,0,500"},     engines: running, streams, suspecting, changing, ms since
- *                                          the last sign of life, waiting tokens by urgency level
+ *  "e":{"i-7f":"2,0,1,0,120,0,0,500"},     engines: running, streams, suspecting, changing, ms
+ *                                          since the last sign of life, waiting tokens by urgency
  *  "d":{"i-7f":2},                         engines that leave, though their entries do not say so:
  *                                          number of nodes that know
  *  "b":{"i-7f":"1,32,0,8,2.2,40,-1"},      limits: nodes, weight, held, sent; requests per second,
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
@@ -46,9 +46,10 @@
   private static final String MAX_BYTES_HEADER = "Fallturn-Most-Bytes";
 
   /**
-   * Above this size in bytes a node reads from the store instead. The store has a far faster link
-   * than a node, whose link all requesters would share to fetch the same rows. Traffic between
-   * zones is charged for, and above this size it costs more than a call to the store.
+   * Above this size in bytes, a node that can use the store reads from it instead. The store has a
+   * far faster link than a node, whose link all requesters would share to fetch the same rows.
+   * Traffic between zones is charged for, and above this size it costs more than a call to the
+   * store.
    */
   private static final int MAX_UPDATE_BYTES = 16 * 1024;
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -36,6 +36,7 @@
   /** A watch that returns a change sooner than this found it already there. */
   private static final long ALREADY_THERE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
 
+  /** Pause before the next step when a whole read was older than the known rows. */
   private static final long STALE_READ_PAUSE_MILLIS = 200;
 
   /**
