--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CacheSurvey.java
@@ -20,10 +20,10 @@
 /**
  * Polls model engines for the prompt parts in their caches, since the estimate that this node keeps
  * drifts from the actual contents. One node polls an engine every few seconds and publishes the
- * answer to the others. A node that has just started pollsEngine the others for all lists that they
- * have, and polls the engines of which none of them sent a list. An answer delays the engine's work
- * for a moment, so few engines are polled at once. Only the dispatch thread calls, except for
- * {@link #answered}; answers return to that thread as events.
+ * answer to the others. A node that has just started asks the others for all lists that they have,
+ * and polls the engines whose list none of them sent. An answer delays the engine's work for a
+ * moment, so few engines are polled at once. Only the dispatch thread calls, except for {@link
+ * #answered}; answers return to that thread as events.
  */
 final class CacheSurvey {
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CallerRequestHandler.java
@@ -35,8 +35,8 @@
   private static final Duration DEFAULT_RETRY_AFTER = Duration.ofMillis(300);
 
   /**
-   * Sent while the store does not answer: an earlier retry would fail too. Callers shorten it to
-   * the time that they have left.
+   * Sent while the store does not answer; longer than the default, since only time helps then.
+   * Callers cap it to the time that they have left.
    */
   private static final Duration OUTAGE_RETRY_AFTER = Duration.ofSeconds(2);
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -364,8 +364,8 @@
   }
 
   /**
-   * Sends news to the other nodes without waiting for the next tick. Newly placed prompts, so that
-   * no other node has the same parts prefilled on another engine; crashes, so that no other node
+   * Reports to the other nodes without waiting for the next tick: newly placed prompts, so that no
+   * other node has the same parts prefilled on another engine, and crashes, so that no other node
    * sends requests that have crashed engines.
    */
   @Override
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineAttempt.java
@@ -25,7 +25,10 @@
 final class EngineAttempt
     implements Response.HeadersListener, Response.AsyncContentListener, Response.CompleteListener {
 
-  /** Answers that are not streams are relayed whole up to this size, and in parts beyond it. */
+  /**
+   * Answers that are not streams are relayed only when complete, up to this size; larger successful
+   * ones are relayed in parts.
+   */
   private static final int MAX_WHOLE_ANSWER_BYTES = 256 * 1024;
 
   private enum State {
@@ -207,7 +210,7 @@
         Callback.from(demander::run, failure -> response.abort(failure)));
   }
 
-  /** Whether this attempt may relay its answer; from then on it is the one that answers. */
+  /** Whether this attempt may relay its answer; once it does, no other may begin an answer. */
   private boolean mayRelay() {
     return state.compareAndSet(State.WAITING, State.RELAYING) || state.get() == State.RELAYING;
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineClient.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineClient.java
@@ -105,8 +105,9 @@
   }
 
   /**
-   * Updates the bounds on connections to an engine. A service sets the bound for the whole fleet,
-   * so a node takes its part for an assumed number of nodes.
+   * Updates how many connections this node may open to one engine. Services bound the connections
+   * that an engine takes from all nodes together; a node uses its share of an assumed number of
+   * nodes, and at least two.
    */
   void setServices(RoutingImage image) {
     image
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineNotice.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineNotice.java
@@ -10,7 +10,7 @@
  * What an engine says about itself in the headers of an answer to any call.
  *
  * @param leaving whether it is about to end and takes no new requests
- * @param rest how long the node that it answers is to send nothing (Retry-After)
+ * @param rest how long the node that receives the answer must send it nothing (Retry-After)
  * @param perSecond rate limit: requests a second that it takes from all nodes together
  * @param unlimited whether it certainly has no rate limit: a successful answer that names none
  * @param load its load and how long the work takes
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/GatewayServer.java
@@ -50,8 +50,8 @@
   private static final int RING_SIZE = 4_096;
 
   /**
-   * How often deadlines and the waits for engines are checked. With a tick of 10 ms in a fleet of
-   * 95 nodes the checks took most of the dispatch thread's time (docs/experiments/large.md).
+   * How often deadlines and the timeouts of attempts are checked. At 10 ms the ticks took most of
+   * the dispatch thread's time on a node in a fleet of 95 nodes (docs/experiments/large.md).
    */
   private static final Duration TICK = Duration.ofMillis(25);
 
@@ -223,10 +223,7 @@
         action -> scaling.ifPresent(duty -> duty.offer(action)));
   }
 
-  /**
-   * Whether the list of engines was confirmed within the contact bound. No engine is ordered based
-   * on an older list.
-   */
+  /** Whether the engine list was confirmed within the contact bound; if not, none is ordered. */
   private boolean engineListIsFresh() {
     return engineFollower.stalenessNanos(System.nanoTime()) < settings.bounds().contact().toNanos();
   }
@@ -283,10 +280,10 @@
   }
 
   /**
-   * Starts everything. Callers are accepted when routes and engines are known. If the store does
-   * not answer for a short time, callers are accepted anyway and their requests are refused with
-   * that reason. The callers' port opens before the other ports: opening each takes processor time
-   * while callers wait.
+   * Starts everything. Callers are accepted when routes and engines are known. If these do not
+   * become known soon, since the store does not answer, callers are accepted anyway and their
+   * requests are refused with that reason. The callers' port opens before the other ports: opening
+   * each takes processor time while callers wait.
    */
   public void start() throws Exception {
     overlay.tables().setOnNewerVersion(() -> changeSignals.forEach(ChangeSignal::signal));
@@ -365,10 +362,7 @@
     return directory.all().size();
   }
 
-  /**
-   * Number of listed engines that take no new requests, according to their entries or to notices in
-   * their answers.
-   */
+  /** Number of listed engines that take no new requests, by their entries or their notices. */
   public long leavingCount() {
     EngineDirectory known = directory.withLeaving(notices::isLeaving);
     return known.all().stream().filter(ServingEngine::leaving).count();
@@ -380,10 +374,7 @@
     return directory.all().stream().filter(engine -> notices.rests(engine.id(), now)).count();
   }
 
-  /**
-   * Number of listed engines that limit the requests a second that they take from all nodes
-   * together.
-   */
+  /** Number of listed engines that limit the requests a second from all nodes together. */
   public long limitedCount() {
     return directory.all().stream().filter(engine -> notices.limits().limited(engine.id())).count();
   }
@@ -398,7 +389,7 @@
     return stages.abandoned();
   }
 
-  /** Address at which other nodes send messages and request tables. */
+  /** Address to which other nodes send messages and requests for tables. */
   public NetworkAddress peersAddress() {
     return peers.address();
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/NoticeReader.java
@@ -20,7 +20,7 @@
   /** Engines for which the last unreadable value is kept, so that it is logged only once. */
   private static final int MAX_UNREADABLE = 1_000;
 
-  /** Unknown header names that are logged at most; applications may send any number of them. */
+  /** Bound on the unknown header names that are logged; applications may send any number. */
   private static final int MAX_UNKNOWN = 100;
 
   private final EngineProtocol protocol;
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Logs an unknown header once, so that operators notice when engines start to send a new one: it
-   * may ask something of the gateway.
+   * Logs the name of an unknown header once. When engines start to send a new header, it may ask
+   * something of the gateway, so operators must notice it.
    */
   private void onUnknown(ServingEngine engine, String name) {
     if (loggedHeaders.size() < MAX_UNKNOWN && loggedHeaders.add(name)) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PendingRequestTerminator.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PendingRequestTerminator.java
@@ -74,7 +74,7 @@
   }
 
   /**
-   * Refuses a request, as one that may have run unless no attempt can have run it.
+   * Refuses a request; the answer says that it was not run only when no attempt can have run it.
    *
    * @param exchange the request
    * @param lastAttemptNotRun whether the last attempt has certainly not run
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/EngineClientTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/EngineClientTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against requests to an engine that has asked this node for a pause after the request was
- * decided: the client must hold them back.
+ * Guards against calls that are still sent after their engine has asked this node for a pause: the
+ * client must hold them back.
  */
 class EngineClientTest {
 
