--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -438,8 +438,8 @@
   }
 
   @Override
-  public void onLateEvent(DispatchEvent event) {
-    terminator.onLateEvent(event);
+  public void onUnhandledEvent(DispatchEvent event) {
+    terminator.onUnhandledEvent(event);
   }
 
   private void reportSignsOfLife(long now) {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PendingRequestTerminator.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PendingRequestTerminator.java
@@ -45,7 +45,7 @@
   }
 
   /** Handles an event that the duty did not handle, or failed on. */
-  void onLateEvent(DispatchEvent event) {
+  void onUnhandledEvent(DispatchEvent event) {
     if (event instanceof DispatchEvent.Arrived arrived) {
       terminate(arrived.exchange());
     } else if (event instanceof DispatchEvent.Prefilled prefilled) {
