--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/FollowCounts.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/FollowCounts.java
@@ -19,7 +19,7 @@
     STORE_WATCH_ROWS,
     /** A watch of the store returned no rows. */
     STORE_WATCH_EMPTY,
-    /** This node ended a watch of the store before the store answered. */
+    /** This node ended a watch of the store that it could no longer rely on. */
     STORE_WATCH_ENDED,
     /** A call to the store, or taking its answer, failed. */
     STORE_FAILED,
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerExchange.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerExchange.java
@@ -46,7 +46,7 @@
     return counters;
   }
 
-  /** Registers the counts of messages and bytes as metrics. */
+  /** Registers the counts of messages and bytes as metrics, those of sent ones by kind. */
   void addTo(GatewayMetrics metrics) {
     for (MessageKind kind : MessageKind.values()) {
       String name = kind.name().toLowerCase(Locale.ROOT);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerSnapshots.java
@@ -115,7 +115,7 @@
               .timeout(CALL_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)
               .send();
       if (response.getStatus() == HttpStatus.PAYLOAD_TOO_LARGE_413) {
-        throw new TableTooLargeException(peer + " has an update too large to send of " + path);
+        throw new TableTooLargeException(peer + " has too large an update of " + path);
       }
       if (response.getStatus() != HttpStatus.OK_200) {
         throw new StoreException(peer + " does not know " + path, false, null);
@@ -175,7 +175,10 @@
     return reply;
   }
 
-  /** Returns the whole table when the query names no position or one that is not a number. */
+  /**
+   * Returns the changes since the position that the query names; the whole table when it names none
+   * or one that is not a number.
+   */
   private static TableUpdate updateFor(String query, FeedAnswer table) {
     if (query == null || !query.startsWith(AFTER_PARAMETER)) {
       return TableUpdate.whole(table);
@@ -226,7 +229,8 @@
     }
 
     /**
-     * Requests only the changes since the own copy, as the requester mostly has nearly all rows.
+     * Requests only the changes since this node's copy, which mostly has nearly all rows. Requests
+     * the whole table when there is no copy, or when the copy lacks rows that the changes rely on.
      */
     private FeedAnswer ask(NetworkAddress peer, int maxBytes) throws StoreException {
       FeedAnswer own = ownTables.get(table);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -126,8 +126,8 @@
   /**
    * The waiting times of a follower.
    *
-   * @param maxBatchPause longest pause after a change in which further changes are batched, where
-   *     it exceeds the default pause
+   * @param maxBatchPause bounds how long a change may wait to be read together with others; has no
+   *     effect below {@link #BATCH_PAUSE_MILLIS}
    * @param bounds how old the known rows may be
    * @param pause how the follower's thread waits
    */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/TableTooLargeException.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/TableTooLargeException.java
@@ -3,8 +3,8 @@
 import org.fallturn.core.port.table.StoreException;
 
 /**
- * A node has the requested rows but does not send them: the answer is larger than the requester
- * accepts, as many requests for it would overload the node's link.
+ * A node has the requested rows but does not send them, since the answer is larger than the
+ * requester accepts. The limit keeps a node's link free of large answers sent many times.
  */
 final class TableTooLargeException extends StoreException {
 
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/EarlierBuildsTest.java
@@ -57,7 +57,10 @@
     }
   }
 
-  /** This build decodes a recorded message, and encodes it again to the same JSON. */
+  /**
+   * This build decodes a recorded message, and encodes it again to the same JSON, which the earlier
+   * build reads as before.
+   */
   @ParameterizedTest
   @EnumSource(MessageKind.class)
   void messagesOfAnEarlierBuildAreDecodedAndEncodedUnchanged(MessageKind kind) throws Exception {
@@ -74,7 +77,7 @@
     assertThat(json.readTree(codec.encode(message))).isEqualTo(json.readTree(bytes));
   }
 
-  /** Without its new keys, a message with newer data equals the recorded one. */
+  /** A message with data that the earlier build does not know differs only by keys of its own. */
   @Test
   void newDataInAMessageHasItsOwnKeys() throws Exception {
     byte[] bytes = recorded("message-VIEW.json");
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerPortsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerPortsTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a gateway that fails to start on any free port, because the number that it got for
- * UDP is in use for TCP.
+ * Guards against a gateway that may take any free port and yet fails to start, because the number
+ * that it got for UDP is in use for TCP.
  */
 class PeerPortsTest {
 
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerSnapshotsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/PeerSnapshotsTest.java
@@ -149,9 +149,9 @@
   }
 
   /**
-   * Guards against many nodes fetching a large change over the slow link of one node: with a
-   * configuration of a thousand routes, the last node had it six seconds after the first, later
-   * than any bound allows.
+   * Guards against all nodes fetching a large change over the slow link of the one that watches the
+   * store: with a configuration of a thousand routes, the last node had it six seconds after the
+   * first, later than any bound allows.
    */
   @Test
   void updateThatIsTooLargeForTheLinkOfANodeIsNotSent() throws Exception {
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/StoreRefusesNodeTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/StoreRefusesNodeTest.java
@@ -24,8 +24,8 @@
 /**
  * Guards against nodes that go on accepting revoked API keys while the store rejects their
  * requests. It happened when a store rejected a third of the nodes for nine seconds and served the
- * operator and the other nodes: the rejected nodes missed a revocation, since they asked other
- * nodes only while they had no rows at all.
+ * operator and the other nodes: the rejected nodes missed the revocations of that time, since they
+ * asked other nodes only while they had no rows at all.
  */
 class StoreRefusesNodeTest {
 
@@ -102,7 +102,10 @@
     public void onReachable(boolean reachable) {}
   }
 
-  /** Reports of other nodes: they have the newest change, and confirm it while a test says so. */
+  /**
+   * Reports of other nodes: the newest change that they have seen, and, while a test says so, that
+   * the store has just answered them.
+   */
   private final class StubReports implements RowFollower.PeerReports {
 
     @Override
