--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -159,7 +159,7 @@
 
   /** Starts following; uncaught exceptions are only logged. */
   void start() {
-    start(FaultListener.LOGGED);
+    start(FaultListener.LOG_ONLY);
   }
 
   /**
