--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/CrashReportText.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/CrashReportText.java
@@ -9,9 +9,10 @@
 
 /**
  * Text form of a {@link CrashReport} in messages between nodes. Words separated by spaces: the
- * fingerprint of the content; the ms since it was last requested, confirmed as crashing engines,
- * and answered well; whether the store holds it; then, for each crash, engine id, ms since the
- * crash, and whether the engine is gone, separated by colons.
+ * fingerprint of the content; the ms since it was last sent or crashed an engine, since it was
+ * confirmed as crashing engines, and since it was answered well; whether the store holds it; then a
+ * word for each crash, with engine id, ms since the crash, and whether the engine is gone,
+ * separated by colons.
  */
 final class CrashReportText {
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
@@ -456,8 +456,8 @@
   }
 
   /**
-   * Returns the id of the prompt's last shared part, which identifies where the prompt is cached;
-   * empty when there is none.
+   * Returns the id of the prompt's last shared part, which tells most about where the prompt is
+   * cached; empty when there is none.
    */
   private static String sharedPart(Exchange exchange) {
     return exchange
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
@@ -23,7 +23,7 @@
   /** The steps of the shutdown before the process ends. */
   interface ShutdownSteps {
 
-    /** Stops the duties and abandons what they hold; must not block. */
+    /** Stops the duties and gives up the requests that they hold; must not block. */
     void stopDuties();
 
     /** Waits for a bounded time until the answers in flight have reached their callers. */
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/LogEvent.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/LogEvent.java
@@ -23,9 +23,9 @@
   SETTINGS_REFUSED,
   /** Log lines were dropped, because they were written faster than they were read. */
   LINES_DROPPED,
-  /** A dependency, such as the store, answers again. */
+  /** The store answers again a table follower or duty whose call had failed. */
   DEPENDENCY_REGAINED,
-  /** A dependency, such as the store, does not answer. */
+  /** A call to the store failed; the line names the table or the duty that it was for. */
   DEPENDENCY_LOST,
   /** This node now reads a table from other nodes instead of the store, or the reverse. */
   SOURCE_CHANGED,
@@ -53,7 +53,10 @@
   ENGINE_LIMITED,
   /** An engine with a limit on requests per second takes any number again. */
   ENGINE_LIMIT_ENDED,
-  /** An engine became slower or faster than its service, or usual; the detail says which. */
+  /**
+   * An engine became slower or faster than the others of its service, or no longer is; the detail
+   * says which.
+   */
   ENGINE_PACE,
   /** An engine's notice of its rest, limit or load is not a number, and is ignored. */
   NOTICE_REFUSED,
@@ -63,7 +66,10 @@
   ENGINE_GONE,
   /** A content's quarantine status changed: engines crashed under it, or it was cleared. */
   STANDING_CHANGED,
-  /** A suspect or quarantined content was written to the store or removed, or could not be. */
+  /**
+   * A suspected or quarantined content was written to the store or removed from it, or its write
+   * could not be queued.
+   */
   QUARANTINE_STORED,
   /** This node ordered an engine to change its stage. */
   STAGE_ORDERED,
@@ -75,7 +81,7 @@
   USAGE_NOT_REPORTED,
   /** This node ordered engines from the platform. */
   SCALE_ORDERED,
-  /** The load on which this node, which leads the stages, bases its stage orders. */
+  /** The load figures on which this node, the one that orders stage changes, bases its orders. */
   STAGE_OUTLOOK,
   /** A row of the store could not be parsed and is left out. */
   ROW_REFUSED,
@@ -85,7 +91,7 @@
   WAITING,
   /** A request's wait ended, with room or without; the next line says what happens to it. */
   WAITED,
-  /** This node places a request on an engine. */
+  /** This node sends a request to an engine. */
   PLACED,
   /** This node itself answers a request with an error. */
   REFUSED,
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineActions.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineActions.java
@@ -8,7 +8,7 @@
 import org.fallturn.core.quarantine.RequestFingerprint;
 
 /**
- * Carries out what the quarantine asks for: probes engines, has the store written, and logs
+ * Carries out what the quarantine asks for: probes engines, queues writes to the store, and logs
  * changes. Only the dispatch thread calls, except for {@link #quarantined()}.
  */
 final class QuarantineActions {
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/QuarantineDuty.java
@@ -98,7 +98,7 @@
     }
   }
 
-  /** The loop calls this again after a fault; the write that failed is handed over later. */
+  /** The loop calls this again after a fault; the write that failed is handed over again later. */
   private void work() throws InterruptedException {
     if (!loaded) {
       retryUntilDone("quarantine", this::load);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RequestTimeline.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RequestTimeline.java
@@ -18,11 +18,12 @@
 
 /**
  * Timeline of one request from the structured logs of gateways: the lines about the request in time
- * order, with the state that each process involved had at the time. The state of a process is the
- * last line of each kind before the request, such as changes of routes, engines and dependencies,
- * and all such lines until the request's last one. Where the request's content is suspected of
- * crashes, the timeline includes the lines about the content under any request id. A line's process
- * is the last word before its JSON object, or else the name of the file.
+ * order, with the state that each process involved had at the time. State lines tell of changes of
+ * routes, engines, dependencies and the process itself. The timeline has the last one about each
+ * subject before the request, unless it had lapsed by then, and all until the request's last line.
+ * Where the request's content is suspected of crashes, the timeline includes the lines about the
+ * content under any request id. A line's process is the last word before its JSON object, or else
+ * the name of the file.
  */
 public final class RequestTimeline {
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/StageDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/StageDuty.java
@@ -11,15 +11,15 @@
 
 /**
  * The duty that orders engines to change their stage, one at a time, on a thread of its own. It
- * takes the lease, waits until the other nodes know of the change, asks the engine for its report,
- * and sends the order.
+ * takes the lease, gives the other nodes time to hear of the change, asks the engine for its
+ * report, and sends the order.
  *
  * <p>Invariant: the duty sends an order only while this node holds the lease, which it checks right
  * before. It hands an event of each step to the dispatch duty.
  */
 final class StageDuty implements AutoCloseable {
 
-  /** Time within which the other nodes hear that they are to send the engine nothing. */
+  /** Pause before an order, in which the other nodes hear that they are not to use the engine. */
   private static final long NOTIFY_PEERS_MILLIS = 150;
 
   private static final long PAUSE_AFTER_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(1);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageDuty.java
@@ -106,7 +106,7 @@
     jobs.pause(PAUSE_AFTER_FAILURE_NANOS);
   }
 
-  /** Lets another node lead after too many failures, since the platform may answer that one. */
+  /** Lets another node lead when reports have failed for long: the platform may answer that one. */
   private void stepAsideIfFailingLong() {
     if (System.nanoTime() - failingSinceNanos >= STEP_ASIDE_AFTER_NANOS) {
       failing = false;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
@@ -5,7 +5,7 @@
 import org.fallturn.core.usage.UsageNews;
 
 /**
- * The view of the fleet that {@link UsageTally} needs, from the overlay between nodes and the
+ * The view of the fleet that {@link UsageTally} needs, taken from the relay overlay and the
  * dispatcher. Only the dispatch thread calls.
  *
  * @param node name of this node
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
@@ -33,8 +33,8 @@
   private static final long CLOCK_READ_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
 
   /**
-   * How long after a node has begun to collect its sums count as complete: all other nodes publish
-   * to it within two intervals.
+   * Time from when a node begins to collect until it takes its sums as complete: half an interval
+   * more than the two intervals within which all other nodes publish to it.
    */
   private static final long COLLECT_COMPLETE_NANOS =
       2 * PUBLISH_INTERVAL_NANOS + PUBLISH_INTERVAL_NANOS / 2;
