--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/FatalFaultHandlerTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/FatalFaultHandlerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CopyOnWriteArrayList;
-import org.fallturn.node.duty.FaultAnswer;
+import org.fallturn.node.duty.FaultDecision;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -47,8 +47,8 @@
 
   @Test
   void dutyThatGoesOnIsCountedAndTheNodeServes() {
-    handler.onFault("peers", FAULT, new FaultAnswer(true, 0));
-    handler.onFault("peers", FAULT, new FaultAnswer(true, 0));
+    handler.onFault("peers", FAULT, new FaultDecision(true, 0));
+    handler.onFault("peers", FAULT, new FaultDecision(true, 0));
     assertThat(metrics.text())
         .contains("fallturn_gateway_events_total{event=\"DUTY_FAILED\",detail=\"peers\"} 2");
     assertThat(state.takesRequests()).isTrue();
@@ -58,8 +58,8 @@
 
   @Test
   void dutyThatCannotGoOnEndsTheNodeOnce() {
-    handler.onFault("dispatch", FAULT, FaultAnswer.END);
-    handler.onFault("dispatch", FAULT, FaultAnswer.END);
+    handler.onFault("dispatch", FAULT, FaultDecision.END);
+    handler.onFault("dispatch", FAULT, FaultDecision.END);
     assertThat(state.takesRequests()).isFalse();
     assertThat(state.stopping()).isTrue();
     await().atMost(TIMEOUT).until(() -> steps.contains("exit 3"));
@@ -69,7 +69,7 @@
   @Test
   void processEndsAtOnceWhenNothingElseCanBeDone() {
     stopFails = true;
-    handler.onFault("usage", FAULT, FaultAnswer.END);
+    handler.onFault("usage", FAULT, FaultDecision.END);
     assertThat(steps).containsExactly("give up", "exit 3");
   }
 }
