--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyHandler.java
@@ -25,7 +25,7 @@
   }
 
   /** An event that came after the end, or that the duty failed on. */
-  default void onLateEvent(E event) throws Exception {
+  default void onUnhandledEvent(E event) throws Exception {
     // Most events need no answer.
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyLoop.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyLoop.java
@@ -11,7 +11,7 @@
   private final String name;
   private final Body body;
   private final Thread thread;
-  private DutyGuard guard;
+  private DutyFaultHandler guard;
   private volatile boolean closed;
 
   /** The duty. */
@@ -36,7 +36,7 @@
    * @param faults hears of what the duty does not catch
    */
   public void start(FaultListener faults) {
-    guard = new DutyGuard(name, DutyState.LEARNED_AGAIN, faults);
+    guard = new DutyFaultHandler(name, DutyState.LEARNED_AGAIN, faults);
     thread.start();
   }
 
@@ -71,7 +71,7 @@
       if (closed) {
         return false;
       }
-      FaultAnswer answer = guard.onFault(fault);
+      FaultDecision answer = guard.onFault(fault);
       TimeUnit.NANOSECONDS.sleep(answer.pauseNanos());
       return answer.goesOn();
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyThread.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyThread.java
@@ -18,7 +18,7 @@
  *
  * <p>The thread outlives every fault, since a ring that nobody empties holds its producers up: the
  * Disruptor by itself ends its thread at the first Throwable. A duty that cannot go on has its
- * events handed to {@link DutyHandler#onLateEvent} from then on.
+ * events handed to {@link DutyHandler#onUnhandledEvent} from then on.
  *
  * @param <E> type of the events
  */
@@ -34,7 +34,7 @@
   private final long tickNanos;
   private final Disruptor<Slot<E>> disruptor;
   private final RingBuffer<Slot<E>> ring;
-  private DutyGuard guard;
+  private DutyFaultHandler guard;
   private long lastTickNanos;
   private volatile boolean ending;
   private boolean ended;
@@ -77,7 +77,7 @@
 
   /** Starts the thread; faults are logged only. */
   public DutyThread<E> start() {
-    return start(DutyState.LEARNED_AGAIN, FaultListener.LOGGED);
+    return start(DutyState.LEARNED_AGAIN, FaultListener.LOG_ONLY);
   }
 
   /**
@@ -86,7 +86,7 @@
    * @param faults hears of what the handler does not catch
    */
   public DutyThread<E> start(DutyState state, FaultListener faults) {
-    guard = new DutyGuard(name, state, faults);
+    guard = new DutyFaultHandler(name, state, faults);
     lastTickNanos = System.nanoTime();
     disruptor.start();
     return this;
@@ -121,14 +121,14 @@
     lastTickNanos = now;
     try {
       handler.onTick();
-      guard.onTickDone();
+      guard.onTickSuccess();
     } catch (Throwable fault) {
       follow(guard.onTickFault(fault));
     }
   }
 
   /** No pause where the duty goes on: its next events would wait for nothing. */
-  private void follow(FaultAnswer answer) {
+  private void follow(FaultDecision answer) {
     if (!answer.goesOn()) {
       end();
     }
@@ -149,7 +149,7 @@
 
   private void handOver(E event) {
     try {
-      handler.onLateEvent(event);
+      handler.onUnhandledEvent(event);
     } catch (Throwable fault) {
       guard.onFault(fault);
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultAnswer.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultDecision.java
@@ -6,8 +6,8 @@
  * @param goesOn whether the duty may go on; if not, its process is to end
  * @param pauseNanos how long it waits before
  */
-public record FaultAnswer(boolean goesOn, long pauseNanos) {
+public record FaultDecision(boolean goesOn, long pauseNanos) {
 
   /** The duty cannot go on. */
-  public static final FaultAnswer END = new FaultAnswer(false, 0);
+  public static final FaultDecision END = new FaultDecision(false, 0);
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
@@ -7,11 +7,11 @@
 public interface FaultListener {
 
   /** Only logs; for duties whose end does not end a process. */
-  FaultListener LOGGED =
+  FaultListener LOG_ONLY =
       (duty, fault, answer) ->
           LoggerFactory.getLogger(FaultListener.class)
               .error("duty: {} failed and {}.", duty, answer.goesOn() ? "goes on" : "ends", fault);
 
   /** A duty failed. */
-  void onFault(String duty, Throwable fault, FaultAnswer answer);
+  void onFault(String duty, Throwable fault, FaultDecision answer);
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
@@ -15,18 +15,18 @@
 public final class FaultPolicy {
 
   /** Errors after each of which a duty is started anew, before its process is given up. */
-  static final int MAX_ERRORS_IN_A_ROW = 8;
+  static final int MAX_ERRORS_IN_SERIES = 8;
 
   /** A fault that comes later than this after the one before begins a new row. */
-  static final long ROW_NANOS = TimeUnit.SECONDS.toNanos(30);
+  static final long FAULT_SERIES_GAP_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   static final long FIRST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
   /** Less than the time in which peers and followed tables are taken for lost. */
-  static final long LONGEST_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(3);
+  static final long MAX_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /** How long each tick may fail: about what a caller waits before it asks elsewhere. */
-  static final long LONGEST_WITHOUT_TICK_NANOS = TimeUnit.SECONDS.toNanos(2);
+  static final long MAX_TICK_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private static final int MAX_DOUBLINGS = 10;
   private static final int MAX_CAUSES = 16;
@@ -44,8 +44,8 @@
   }
 
   /** What follows a fault. */
-  public FaultAnswer onFault(Throwable fault, long nowNanos) {
-    if (faultsInARow > 0 && nowNanos - lastFaultNanos > ROW_NANOS) {
+  public FaultDecision onFault(Throwable fault, long nowNanos) {
+    if (faultsInARow > 0 && nowNanos - lastFaultNanos > FAULT_SERIES_GAP_NANOS) {
       faultsInARow = 0;
       errorsInARow = 0;
     }
@@ -53,27 +53,27 @@
     faultsInARow++;
     boolean error = fault instanceof Error;
     errorsInARow += error ? 1 : 0;
-    boolean tooMany = state == DutyState.HELD_ALONE || errorsInARow > MAX_ERRORS_IN_A_ROW;
+    boolean tooMany = state == DutyState.HELD_ALONE || errorsInARow > MAX_ERRORS_IN_SERIES;
     if (isForWantOfMemory(fault) || error && tooMany) {
-      return FaultAnswer.END;
+      return FaultDecision.END;
     }
     int doublings = Math.min(faultsInARow - 1, MAX_DOUBLINGS);
-    return new FaultAnswer(true, Math.min(FIRST_PAUSE_NANOS << doublings, LONGEST_PAUSE_NANOS));
+    return new FaultDecision(true, Math.min(FIRST_PAUSE_NANOS << doublings, MAX_PAUSE_NANOS));
   }
 
   /** What follows a fault of a tick. */
-  public FaultAnswer onTickFault(Throwable fault, long nowNanos) {
+  public FaultDecision onTickFault(Throwable fault, long nowNanos) {
     if (!ticksFail) {
       ticksFail = true;
       ticksFailSinceNanos = nowNanos;
     }
-    boolean tooLong = nowNanos - ticksFailSinceNanos > LONGEST_WITHOUT_TICK_NANOS;
-    FaultAnswer answer = onFault(fault, nowNanos);
-    return state == DutyState.HELD_ALONE && tooLong ? FaultAnswer.END : answer;
+    boolean tooLong = nowNanos - ticksFailSinceNanos > MAX_TICK_FAILURE_NANOS;
+    FaultDecision answer = onFault(fault, nowNanos);
+    return state == DutyState.HELD_ALONE && tooLong ? FaultDecision.END : answer;
   }
 
   /** A tick did not fail. */
-  public void onTickDone() {
+  public void onTickSuccess() {
     ticksFail = false;
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
@@ -26,7 +26,7 @@
 import org.fallturn.core.stages.StageOutlook;
 import org.fallturn.core.usage.DutyOutcome;
 import org.fallturn.core.usage.UsageReport;
-import org.fallturn.node.duty.FaultAnswer;
+import org.fallturn.node.duty.FaultDecision;
 import org.fallturn.node.metrics.LogSetup;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -103,7 +103,7 @@
   }
 
   /** A sentence of its own, with the stack, for whoever reads only what is wrong. */
-  void dutyFailed(String duty, Throwable fault, FaultAnswer answer) {
+  void dutyFailed(String duty, Throwable fault, FaultDecision answer) {
     metrics.count(LogEvent.DUTY_FAILED, duty);
     LOG.atError()
         .setMessage(
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -430,7 +430,7 @@
   }
 
   @Override
-  public void onLateEvent(DispatchEvent event) {
+  public void onUnhandledEvent(DispatchEvent event) {
     held.onLate(event);
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
@@ -1,7 +1,7 @@
 package org.fallturn.node.gateway;
 
 import java.util.concurrent.atomic.AtomicBoolean;
-import org.fallturn.node.duty.FaultAnswer;
+import org.fallturn.node.duty.FaultDecision;
 import org.fallturn.node.duty.FaultListener;
 
 /**
@@ -39,7 +39,7 @@
   }
 
   @Override
-  public void onFault(String duty, Throwable fault, FaultAnswer answer) {
+  public void onFault(String duty, Throwable fault, FaultDecision answer) {
     try {
       if (!answer.goesOn()) {
         state.beginStop();
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -131,7 +131,7 @@
 
   /** Begins; faults are logged only. */
   void start() {
-    start(FaultListener.LOGGED);
+    start(FaultListener.LOG_ONLY);
   }
 
   /**
--- a/fallturn-node/src/main/java/org/fallturn/node/gossip/UdpSocket.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gossip/UdpSocket.java
@@ -67,7 +67,7 @@
 
   @Override
   public void start() {
-    start(FaultListener.LOGGED);
+    start(FaultListener.LOG_ONLY);
   }
 
   /**
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/HealthRoutes.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/HealthRoutes.java
@@ -40,11 +40,11 @@
   }
 
   private void readiness(Response response, Callback callback) {
-    List<String> obstacles = health.obstacles();
-    if (obstacles.isEmpty()) {
+    List<String> notReadyReasons = health.notReadyReasons();
+    if (notReadyReasons.isEmpty()) {
       text(response, HttpStatus.OK_200, "ready\n", callback);
     } else {
-      String reasons = "not ready: " + String.join(", ", obstacles) + "\n";
+      String reasons = "not ready: " + String.join(", ", notReadyReasons) + "\n";
       text(response, HttpStatus.SERVICE_UNAVAILABLE_503, reasons, callback);
     }
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/NodeHealth.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/NodeHealth.java
@@ -37,23 +37,23 @@
   }
 
   /** What stands in the way of callers; empty when the node is ready. */
-  public synchronized List<String> obstacles() {
-    List<String> obstacles = new ArrayList<>();
+  public synchronized List<String> notReadyReasons() {
+    List<String> notReadyReasons = new ArrayList<>();
     if (stopping) {
-      obstacles.add("stopping");
+      notReadyReasons.add("stopping");
     }
     conditions.forEach(
         (condition, met) -> {
           if (!met) {
-            obstacles.add(condition);
+            notReadyReasons.add(condition);
           }
         });
     checks.forEach(
         (condition, met) -> {
           if (!met.getAsBoolean()) {
-            obstacles.add(condition);
+            notReadyReasons.add(condition);
           }
         });
-    return obstacles;
+    return notReadyReasons;
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadFaultTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadFaultTest.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public void onLateEvent(String event) {
+    public void onUnhandledEvent(String event) {
       done.add("late " + event);
       if (event.equals("2")) {
         throw new NoClassDefFoundError("c/D");
--- a/fallturn-node/src/test/java/org/fallturn/node/duty/FaultPolicyTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/duty/FaultPolicyTest.java
@@ -16,28 +16,28 @@
   void pausesDoubleUpToABound() {
     assertThat(again.onFault(ERROR, 0).pauseNanos()).isEqualTo(FaultPolicy.FIRST_PAUSE_NANOS);
     assertThat(again.onFault(ERROR, 1).pauseNanos()).isEqualTo(2 * FaultPolicy.FIRST_PAUSE_NANOS);
-    FaultAnswer last = again.onFault(ERROR, 2);
+    FaultDecision last = again.onFault(ERROR, 2);
     for (int more = 0; more < 100; more++) {
       last = again.onFault(new IllegalStateException(), 3);
     }
-    assertThat(last).isEqualTo(new FaultAnswer(true, FaultPolicy.LONGEST_PAUSE_NANOS));
+    assertThat(last).isEqualTo(new FaultDecision(true, FaultPolicy.MAX_PAUSE_NANOS));
   }
 
   @Test
   void errorsInARowEndTheDutyBeyondABound() {
-    for (int count = 0; count < FaultPolicy.MAX_ERRORS_IN_A_ROW; count++) {
+    for (int count = 0; count < FaultPolicy.MAX_ERRORS_IN_SERIES; count++) {
       assertThat(again.onFault(ERROR, count).goesOn()).isTrue();
     }
-    assertThat(again.onFault(ERROR, 100)).isEqualTo(FaultAnswer.END);
+    assertThat(again.onFault(ERROR, 100)).isEqualTo(FaultDecision.END);
   }
 
   @Test
   void faultAfterAQuietTimeBeginsANewRow() {
-    for (int count = 0; count < FaultPolicy.MAX_ERRORS_IN_A_ROW; count++) {
+    for (int count = 0; count < FaultPolicy.MAX_ERRORS_IN_SERIES; count++) {
       again.onFault(ERROR, 0);
     }
-    FaultAnswer answer = again.onFault(ERROR, FaultPolicy.ROW_NANOS + 1);
-    assertThat(answer).isEqualTo(new FaultAnswer(true, FaultPolicy.FIRST_PAUSE_NANOS));
+    FaultDecision answer = again.onFault(ERROR, FaultPolicy.FAULT_SERIES_GAP_NANOS + 1);
+    assertThat(answer).isEqualTo(new FaultDecision(true, FaultPolicy.FIRST_PAUSE_NANOS));
   }
 
   @Test
@@ -49,22 +49,22 @@
 
   @Test
   void errorEndsADutyThatAloneHoldsItsState() {
-    assertThat(alone.onFault(ERROR, 0)).isEqualTo(FaultAnswer.END);
+    assertThat(alone.onFault(ERROR, 0)).isEqualTo(FaultDecision.END);
   }
 
   @Test
   void wantOfMemoryEndsAnyDutyAlsoWhenItIsTheCause() {
     Throwable wrapped = new IllegalStateException(new ExecutionException(new OutOfMemoryError()));
-    assertThat(again.onFault(wrapped, 0)).isEqualTo(FaultAnswer.END);
+    assertThat(again.onFault(wrapped, 0)).isEqualTo(FaultDecision.END);
   }
 
   @Test
   void ticksThatAllFailEndADutyThatAloneHoldsItsState() {
     RuntimeException fault = new IllegalStateException();
-    long late = FaultPolicy.LONGEST_WITHOUT_TICK_NANOS + 1;
+    long late = FaultPolicy.MAX_TICK_FAILURE_NANOS + 1;
     assertThat(alone.onTickFault(fault, 0).goesOn()).isTrue();
-    alone.onTickDone();
+    alone.onTickSuccess();
     assertThat(alone.onTickFault(fault, late).goesOn()).isTrue();
-    assertThat(alone.onTickFault(fault, 2 * late)).isEqualTo(FaultAnswer.END);
+    assertThat(alone.onTickFault(fault, 2 * late)).isEqualTo(FaultDecision.END);
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/FatalFaultHandlerTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/FatalFaultHandlerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.concurrent.CopyOnWriteArrayList;
-import org.fallturn.node.duty.FaultAnswer;
+import org.fallturn.node.duty.FaultDecision;
 import org.junit.jupiter.api.Test;
 
 class FatalFaultHandlerTest {
@@ -42,8 +42,8 @@
 
   @Test
   void dutyThatGoesOnIsCountedAndTheNodeServes() {
-    end.onFault("peers", FAULT, new FaultAnswer(true, 0));
-    end.onFault("peers", FAULT, new FaultAnswer(true, 0));
+    end.onFault("peers", FAULT, new FaultDecision(true, 0));
+    end.onFault("peers", FAULT, new FaultDecision(true, 0));
     assertThat(metrics.text())
         .contains("fallturn_gateway_events_total{event=\"DUTY_FAILED\",detail=\"peers\"} 2");
     assertThat(state.takesRequests()).isTrue();
@@ -53,8 +53,8 @@
 
   @Test
   void dutyThatCannotGoOnEndsTheNodeOnce() {
-    end.onFault("dispatch", FAULT, FaultAnswer.END);
-    end.onFault("dispatch", FAULT, FaultAnswer.END);
+    end.onFault("dispatch", FAULT, FaultDecision.END);
+    end.onFault("dispatch", FAULT, FaultDecision.END);
     assertThat(state.takesRequests()).isFalse();
     assertThat(state.stopping()).isTrue();
     await().atMost(LONGEST).until(() -> steps.contains("exit 3"));
@@ -64,7 +64,7 @@
   @Test
   void processEndsAtOnceWhenNothingElseCanBeDone() {
     giveUpFails = true;
-    end.onFault("usage", FAULT, FaultAnswer.END);
+    end.onFault("usage", FAULT, FaultDecision.END);
     assertThat(steps).containsExactly("give up", "exit 3");
   }
 }
