--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyHandler.java
@@ -1,30 +1,39 @@
 package org.fallturn.node.duty;
 
 /**
- * What a duty does with its events. Called on the duty's own thread only, so that its state needs
- * no lock.
+ * Handles the events and ticks of a {@link DutyThread}. All methods are called on the duty's own
+ * thread only, so the handler's state needs no lock.
  *
  * @param <E> type of the events
  */
 public interface DutyHandler<E> {
 
-  /** Handles one event. A fault is logged, and the next event follows unless the duty must end. */
+  /**
+   * Handles one event. If it throws, the fault is reported and the next event follows, unless the
+   * {@link FaultPolicy} ends the duty.
+   */
   void onEvent(E event) throws Exception;
 
-  /** Called about every tick, also when no event comes. */
+  /** Called about once per tick interval, also when no event arrives. */
   void onTick() throws Exception;
 
-  /** No further event is waiting; for handlers that gather events and act once for many. */
+  /**
+   * Called when no further event is waiting, for handlers that collect events and process them in
+   * batches.
+   */
   default void onBatchEnd() throws Exception {
-    // Most duties act on each event by itself.
+    // Most duties process each event by itself.
   }
 
-  /** The duty cannot go on, and its state may be unknown: what it holds is to be given up. */
+  /**
+   * Called once when the duty ends. The duty's state may be inconsistent after a fault, so the
+   * handler must give up everything that it holds.
+   */
   default void onEnd() throws Exception {
-    // Most duties hold nothing that somebody waits for.
+    // Most duties hold nothing that anybody waits for.
   }
 
-  /** An event that came after the end, or that the duty failed on. */
+  /** Called for each event that arrives after the duty ended, and for the one it failed on. */
   default void onUnhandledEvent(E event) throws Exception {
     // Most events need no answer.
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyLoop.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyLoop.java
@@ -3,26 +3,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A thread whose duty is started anew after a fault, with a pause that grows, for as long as the
- * policy lets it.
+ * Runs a duty in a thread of its own and restarts it after each fault, with exponential backoff, as
+ * long as the {@link FaultPolicy} allows it.
  */
 public final class DutyLoop implements AutoCloseable {
 
   private final String name;
   private final Body body;
   private final Thread thread;
-  private DutyFaultHandler guard;
+  private DutyFaultHandler faultHandler;
   private volatile boolean closed;
 
-  /** The duty. */
+  /** The code that the loop runs and restarts. */
   @FunctionalInterface
   public interface Body {
 
-    /** Goes on until it is interrupted or has nothing left to do. */
+    /** Runs until the thread is interrupted or no work is left; a return ends the loop. */
     void run() throws InterruptedException;
   }
 
-  /** A duty that has not begun. */
+  /**
+   * Creates the loop; {@link #start} starts its thread.
+   *
+   * @param name name of the duty and of its thread
+   * @param body the code to run
+   */
   public DutyLoop(String name, Body body) {
     this.name = name;
     this.body = body;
@@ -31,36 +36,38 @@
   }
 
   /**
-   * Begins.
+   * Starts the thread.
    *
-   * @param faults hears of what the duty does not catch
+   * @param faults receives the faults that the body does not catch, and those it passes to {@link
+   *     #onCaught}
    */
   public void start(FaultListener faults) {
-    guard = new DutyFaultHandler(name, DutyState.LEARNED_AGAIN, faults);
+    faultHandler = new DutyFaultHandler(name, DutyState.LEARNED_AGAIN, faults);
     thread.start();
   }
 
   /**
-   * The duty has caught an exception itself and goes on without a pause; on its own thread.
+   * Reports an exception that the body caught itself. The body continues without a pause. Must be
+   * called on the duty's thread.
    *
-   * @param fault what was caught
+   * @param fault the exception that was caught
    */
   public void onCaught(Exception fault) {
-    guard.onFault(fault);
+    faultHandler.onFault(fault);
   }
 
   private void run() {
     try {
-      boolean again = true;
-      while (again) {
-        again = runOnce();
+      boolean restart = true;
+      while (restart) {
+        restart = runOnce();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Whether the duty failed and is to be started anew. */
+  /** Runs the body once; returns whether it failed and must be restarted. */
   private boolean runOnce() throws InterruptedException {
     try {
       body.run();
@@ -71,9 +78,9 @@
       if (closed) {
         return false;
       }
-      FaultDecision answer = guard.onFault(fault);
-      TimeUnit.NANOSECONDS.sleep(answer.pauseNanos());
-      return answer.goesOn();
+      FaultDecision decision = faultHandler.onFault(fault);
+      TimeUnit.NANOSECONDS.sleep(decision.pauseNanos());
+      return decision.goesOn();
     }
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyState.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyState.java
@@ -1,9 +1,9 @@
 package org.fallturn.node.duty;
 
-/** What becomes of a duty's state when an Error cuts a step short. */
+/** Whether a duty's state can be rebuilt after an Error interrupted a step of the duty. */
 public enum DutyState {
-  /** Only the duty holds it, so that it is unknown from then on. */
+  /** Only the duty holds its state, so after an Error the state is unknown. */
   HELD_ALONE,
-  /** It is read or told again, so that the duty can be started anew. */
+  /** The duty reads or receives its state again, so it can be restarted. */
   LEARNED_AGAIN
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyThread.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyThread.java
@@ -12,13 +12,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread with one duty, fed by a bounded ring. Any thread may offer events; the handler runs on
- * the duty's thread alone. When the ring is full, {@link #offer} says so at once and the caller
- * decides what to drop. A duty that has had no event for a second is called less often on its tick.
+ * A thread that runs one duty and takes its events from a bounded ring buffer (LMAX Disruptor). Any
+ * thread may offer events; the handler runs on the duty's thread alone. When the ring is full,
+ * {@link #offer} returns false at once and the caller decides what to drop. A duty that has had no
+ * event for a second ticks less often.
  *
- * <p>The thread outlives every fault, since a ring that nobody empties holds its producers up: the
- * Disruptor by itself ends its thread at the first Throwable. A duty that cannot go on has its
- * events handed to {@link DutyHandler#onUnhandledEvent} from then on.
+ * <p>The thread survives every fault. By default the Disruptor ends its thread at the first
+ * Throwable; the ring would then fill up and block its producers. After the duty has ended, the
+ * thread still drains the ring and passes the events to {@link DutyHandler#onUnhandledEvent}.
  *
  * @param <E> type of the events
  */
@@ -34,19 +35,19 @@
   private final long tickNanos;
   private final Disruptor<Slot<E>> disruptor;
   private final RingBuffer<Slot<E>> ring;
-  private DutyFaultHandler guard;
+  private DutyFaultHandler faultHandler;
   private long lastTickNanos;
   private volatile boolean ending;
   private boolean ended;
 
   /**
-   * A duty that is not started yet.
+   * Creates the duty; {@link #start} starts its thread.
    *
-   * @param name name of the thread
-   * @param ringSize a power of two
-   * @param tick about how often {@link DutyHandler#onTick()} is called; up to 50 ms apart when no
-   *     event has come for a second
-   * @param handler the duty
+   * @param name name of the duty and of its thread
+   * @param ringSize capacity of the ring, in events; a power of two
+   * @param tick approximate interval between calls of {@link DutyHandler#onTick()}; up to 50 ms
+   *     when no event has arrived for a second
+   * @param handler handles the events and ticks
    */
   public DutyThread(String name, int ringSize, Duration tick, DutyHandler<E> handler) {
     this.name = name;
@@ -56,26 +57,29 @@
         new Disruptor<>(
             Slot::new,
             ringSize,
-            task -> daemon(name, task),
+            task -> newDaemonThread(name, task),
             ProducerType.MULTI,
             new TickWaitStrategy(tickNanos, idleTickNanos(tickNanos)));
-    disruptor.setDefaultExceptionHandler(new LastGuard());
+    disruptor.setDefaultExceptionHandler(new UncaughtFaultHandler());
     disruptor.handleEventsWith(new SlotHandler());
     this.ring = disruptor.getRingBuffer();
   }
 
-  /** A duty without events for a second ticks up to five times slower, but 20 times a second. */
+  /**
+   * Returns the tick interval of a duty that has had no event for a second: five times the usual
+   * interval, but at most 50 ms (20 ticks a second) and never below the usual interval.
+   */
   private static long idleTickNanos(long tickNanos) {
     return Math.max(tickNanos, Math.min(IDLE_FACTOR * tickNanos, MAX_IDLE_TICK_NANOS));
   }
 
-  private static Thread daemon(String name, Runnable task) {
+  private static Thread newDaemonThread(String name, Runnable task) {
     Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     return thread;
   }
 
-  /** Starts the thread; faults are logged only. */
+  /** Starts the thread with a listener that only logs faults. */
   public DutyThread<E> start() {
     return start(DutyState.LEARNED_AGAIN, FaultListener.LOG_ONLY);
   }
@@ -83,26 +87,30 @@
   /**
    * Starts the thread.
    *
-   * @param faults hears of what the handler does not catch
+   * @param state whether the duty can be restarted after an Error
+   * @param faults receives the faults that the handler does not catch
    */
   public DutyThread<E> start(DutyState state, FaultListener faults) {
-    guard = new DutyFaultHandler(name, state, faults);
+    faultHandler = new DutyFaultHandler(name, state, faults);
     lastTickNanos = System.nanoTime();
     disruptor.start();
     return this;
   }
 
-  /** Hands over an event; false when the ring is full and the event was not taken. */
+  /** Publishes an event to the ring; returns false when the ring is full and the event was not added. */
   public boolean offer(E event) {
     return ring.tryPublishEvent((slot, sequence) -> slot.event = event);
   }
 
-  /** The handler's work is over, though the thread goes on; any thread may call. */
+  /**
+   * Ends the duty: its handler gets no further events or ticks. The thread keeps running and drains
+   * the ring. Any thread may call this.
+   */
   public void end() {
     ending = true;
   }
 
-  /** Handles what is in the ring, then ends the thread. */
+  /** Handles the events that are left in the ring, then ends the thread. */
   @Override
   public void close() {
     try {
@@ -121,46 +129,46 @@
     lastTickNanos = now;
     try {
       handler.onTick();
-      guard.onTickSuccess();
+      faultHandler.onTickSuccess();
     } catch (Throwable fault) {
-      follow(guard.onTickFault(fault));
+      applyDecision(faultHandler.onTickFault(fault));
     }
   }
 
-  /** No pause where the duty goes on: its next events would wait for nothing. */
-  private void follow(FaultDecision answer) {
-    if (!answer.goesOn()) {
+  /** Ends the duty if decided so. Does not pause otherwise: that would only delay the next events. */
+  private void applyDecision(FaultDecision decision) {
+    if (!decision.goesOn()) {
       end();
     }
   }
 
-  /** Whether the handler's work is over; tells it so once. */
+  /** Returns whether the duty has ended; calls {@link DutyHandler#onEnd} the first time. */
   private boolean hasEnded() {
     if (ending && !ended) {
       ended = true;
       try {
         handler.onEnd();
       } catch (Throwable fault) {
-        guard.onFault(fault);
+        faultHandler.onFault(fault);
       }
     }
     return ended;
   }
 
-  private void handOver(E event) {
+  private void passUnhandled(E event) {
     try {
       handler.onUnhandledEvent(event);
     } catch (Throwable fault) {
-      guard.onFault(fault);
+      faultHandler.onFault(fault);
     }
   }
 
-  /** One place in the ring. */
+  /** An entry of the ring buffer. */
   private static final class Slot<E> {
     private E event;
   }
 
-  /** Runs the handler on the duty's thread. */
+  /** Calls the duty's handler from the Disruptor's thread, which is the duty's thread. */
   private final class SlotHandler implements EventHandler<Slot<E>> {
 
     @Override
@@ -174,18 +182,18 @@
       tickWhenDue();
     }
 
-    /** The event that the duty failed on is left undone, and so is late too. */
+    /** Handles an event. If the duty ends on it, the event counts as unhandled too. */
     private void handle(E event) {
       if (!hasEnded()) {
         try {
           handler.onEvent(event);
           return;
         } catch (Throwable fault) {
-          follow(guard.onFault(fault));
+          applyDecision(faultHandler.onFault(fault));
         }
       }
       if (hasEnded()) {
-        handOver(event);
+        passUnhandled(event);
       }
     }
 
@@ -193,7 +201,7 @@
       try {
         handler.onBatchEnd();
       } catch (Throwable fault) {
-        follow(guard.onFault(fault));
+        applyDecision(faultHandler.onFault(fault));
       }
     }
 
@@ -203,22 +211,25 @@
     }
   }
 
-  /** What fails outside the handler, as while waiting; the Disruptor then goes on. */
-  private final class LastGuard implements ExceptionHandler<Slot<E>> {
+  /**
+   * Receives the faults outside the duty's handler, for example while waiting for events. The
+   * Disruptor continues after them.
+   */
+  private final class UncaughtFaultHandler implements ExceptionHandler<Slot<E>> {
 
     @Override
     public void handleEventException(Throwable fault, long sequence, Slot<E> slot) {
-      follow(guard.onFault(fault));
+      applyDecision(faultHandler.onFault(fault));
     }
 
     @Override
     public void handleOnStartException(Throwable fault) {
-      follow(guard.onFault(fault));
+      applyDecision(faultHandler.onFault(fault));
     }
 
     @Override
     public void handleOnShutdownException(Throwable fault) {
-      follow(guard.onFault(fault));
+      applyDecision(faultHandler.onFault(fault));
     }
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultDecision.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultDecision.java
@@ -1,13 +1,13 @@
 package org.fallturn.node.duty;
 
 /**
- * What follows a fault of a duty.
+ * Decision on how a duty continues after a fault.
  *
- * @param goesOn whether the duty may go on; if not, its process is to end
- * @param pauseNanos how long it waits before
+ * @param goesOn whether the duty continues; if not, its process must end
+ * @param pauseNanos pause before the duty continues, in nanoseconds
  */
 public record FaultDecision(boolean goesOn, long pauseNanos) {
 
-  /** The duty cannot go on. */
+  /** The duty must end. */
   public static final FaultDecision END = new FaultDecision(false, 0);
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
@@ -2,16 +2,25 @@
 
 import org.slf4j.LoggerFactory;
 
-/** Hears of everything that a duty did not catch, on the duty's thread. Thread-safe. */
+/**
+ * Receives every fault that a duty did not catch. Called on the threads of several duties, so
+ * implementations must be thread-safe.
+ */
 @FunctionalInterface
 public interface FaultListener {
 
-  /** Only logs; for duties whose end does not end a process. */
+  /** A listener that only logs, for duties whose end does not end the process. */
   FaultListener LOG_ONLY =
-      (duty, fault, answer) ->
+      (duty, fault, decision) ->
           LoggerFactory.getLogger(FaultListener.class)
-              .error("duty: {} failed and {}.", duty, answer.goesOn() ? "goes on" : "ends", fault);
+              .error("duty: {} failed and {}.", duty, decision.goesOn() ? "goes on" : "ends", fault);
 
-  /** A duty failed. */
-  void onFault(String duty, Throwable fault, FaultDecision answer);
+  /**
+   * Called on the duty's thread after a fault.
+   *
+   * @param duty name of the duty
+   * @param fault what the duty threw
+   * @param decision how the duty continues
+   */
+  void onFault(String duty, Throwable fault, FaultDecision decision);
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
@@ -3,81 +3,108 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Decides what follows each fault of one duty. Pure; for one thread.
+ * Decides how one duty continues after each of its faults: after a pause with exponential backoff,
+ * or not at all. Uses no clock and does no I/O. Not thread-safe.
  *
- * <p>Answers the load of faults that come again and again: pauses double up to a bound, so that
- * neither the log nor a dependency is flooded. An exception mostly speaks of one input, which every
- * node may get, so that exceptions alone end no duty; one exception to that is a tick that fails
- * each time, since deadlines are kept there. An Error speaks of the process: one ends a duty that
- * alone holds its state, several in a row end any, and one for want of memory too, as nothing is
- * sure to work after it. A process that starts again has its classes and its memory anew.
+ * <p>Repeated faults form a series. The pause doubles with each fault of a series, up to a bound, so
+ * that neither the log nor a dependency is flooded.
+ *
+ * <ul>
+ *   <li>Exceptions do not end a duty. An exception is mostly caused by one input, and every node may
+ *       receive that input.
+ *   <li>Ticks that keep failing are different, since ticks enforce deadlines: they end a duty that
+ *       is the only holder of its state.
+ *   <li>An {@link Error} concerns the process. A single one ends a duty that is the only holder of
+ *       its state, several in one series end any duty.
+ *   <li>An {@link OutOfMemoryError} ends any duty, since nothing is sure to work after it.
+ * </ul>
+ *
+ * <p>Ending the process helps against Errors: the new process loads its classes again and starts
+ * with free memory.
  */
 public final class FaultPolicy {
 
-  /** Errors after each of which a duty is started anew, before its process is given up. */
+  /** Number of Errors in one series that a duty survives; the next one ends the duty. */
   static final int MAX_ERRORS_IN_SERIES = 8;
 
-  /** A fault that comes later than this after the one before begins a new row. */
+  /** A fault that follows the previous one after more than this time starts a new series. */
   static final long FAULT_SERIES_GAP_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   static final long FIRST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** Less than the time in which peers and followed tables are taken for lost. */
+  /** Must stay below the time after which peers and followed tables count as lost. */
   static final long MAX_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
-  /** How long each tick may fail: about what a caller waits before it asks elsewhere. */
+  /**
+   * How long all ticks may fail before the duty ends. This is about how long a caller waits before
+   * it tries another node.
+   */
   static final long MAX_TICK_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   private static final int MAX_DOUBLINGS = 10;
   private static final int MAX_CAUSES = 16;
 
   private final DutyState state;
-  private int faultsInARow;
-  private int errorsInARow;
+  private int faultsInSeries;
+  private int errorsInSeries;
   private long lastFaultNanos;
-  private boolean ticksFail;
-  private long ticksFailSinceNanos;
+  private boolean ticksFailing;
+  private long ticksFailingSinceNanos;
 
-  /** A policy for a duty that has not failed. */
+  /**
+   * Creates a policy for a duty that has not failed yet.
+   *
+   * @param state whether the duty can be restarted after an Error
+   */
   public FaultPolicy(DutyState state) {
     this.state = state;
   }
 
-  /** What follows a fault. */
+  /**
+   * Decides how the duty continues after a fault.
+   *
+   * @param fault what the duty threw
+   * @param nowNanos time of the fault on the monotonic clock, in nanoseconds
+   */
   public FaultDecision onFault(Throwable fault, long nowNanos) {
-    if (faultsInARow > 0 && nowNanos - lastFaultNanos > FAULT_SERIES_GAP_NANOS) {
-      faultsInARow = 0;
-      errorsInARow = 0;
+    if (faultsInSeries > 0 && nowNanos - lastFaultNanos > FAULT_SERIES_GAP_NANOS) {
+      faultsInSeries = 0;
+      errorsInSeries = 0;
     }
     lastFaultNanos = nowNanos;
-    faultsInARow++;
+    faultsInSeries++;
     boolean error = fault instanceof Error;
-    errorsInARow += error ? 1 : 0;
-    boolean tooMany = state == DutyState.HELD_ALONE || errorsInARow > MAX_ERRORS_IN_SERIES;
-    if (isForWantOfMemory(fault) || error && tooMany) {
+    errorsInSeries += error ? 1 : 0;
+    boolean tooMany = state == DutyState.HELD_ALONE || errorsInSeries > MAX_ERRORS_IN_SERIES;
+    if (isCausedByOutOfMemory(fault) || error && tooMany) {
       return FaultDecision.END;
     }
-    int doublings = Math.min(faultsInARow - 1, MAX_DOUBLINGS);
+    int doublings = Math.min(faultsInSeries - 1, MAX_DOUBLINGS);
     return new FaultDecision(true, Math.min(FIRST_PAUSE_NANOS << doublings, MAX_PAUSE_NANOS));
   }
 
-  /** What follows a fault of a tick. */
+  /**
+   * Decides how the duty continues after a tick failed.
+   *
+   * @param fault what the tick threw
+   * @param nowNanos time of the fault on the monotonic clock, in nanoseconds
+   */
   public FaultDecision onTickFault(Throwable fault, long nowNanos) {
-    if (!ticksFail) {
-      ticksFail = true;
-      ticksFailSinceNanos = nowNanos;
+    if (!ticksFailing) {
+      ticksFailing = true;
+      ticksFailingSinceNanos = nowNanos;
     }
-    boolean tooLong = nowNanos - ticksFailSinceNanos > MAX_TICK_FAILURE_NANOS;
-    FaultDecision answer = onFault(fault, nowNanos);
-    return state == DutyState.HELD_ALONE && tooLong ? FaultDecision.END : answer;
+    boolean tooLong = nowNanos - ticksFailingSinceNanos > MAX_TICK_FAILURE_NANOS;
+    FaultDecision decision = onFault(fault, nowNanos);
+    return state == DutyState.HELD_ALONE && tooLong ? FaultDecision.END : decision;
   }
 
-  /** A tick did not fail. */
+  /** Records that a tick succeeded. */
   public void onTickSuccess() {
-    ticksFail = false;
+    ticksFailing = false;
   }
 
-  private static boolean isForWantOfMemory(Throwable fault) {
+  private static boolean isCausedByOutOfMemory(Throwable fault) {
     Throwable cause = fault;
     for (int depth = 0; cause != null && depth < MAX_CAUSES; depth++) {
       if (cause instanceof OutOfMemoryError) {
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/TickWaitStrategy.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/TickWaitStrategy.java
@@ -10,9 +10,10 @@
 import java.util.concurrent.locks.ReentrantLock;
 
 /**
- * Waits for the next event for at most a tick, or for a longer while once no event has come for
- * some time: a node has a dozen duties, and most are idle most of the time. Publishers may call
- * from any thread; one consumer waits.
+ * Wait strategy of the Disruptor that blocks until the next event, for at most one tick interval.
+ * Once no event has arrived for a second it waits for a longer, idle interval: a node has a dozen
+ * duties and most of them are idle most of the time. Publishers may call from any thread; a single
+ * consumer waits.
  */
 final class TickWaitStrategy implements WaitStrategy {
 
@@ -24,6 +25,12 @@
   private final long idleTickNanos;
   private long lastEventNanos;
 
+  /**
+   * Creates the strategy.
+   *
+   * @param tickNanos longest wait of a busy consumer, in nanoseconds
+   * @param idleTickNanos longest wait of an idle consumer, in nanoseconds
+   */
   TickWaitStrategy(long tickNanos, long idleTickNanos) {
     this.tickNanos = tickNanos;
     this.idleTickNanos = idleTickNanos;
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/package-info.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/package-info.java
@@ -1,2 +1,5 @@
-/** A thread for each duty, fed by a bounded ring. */
+/**
+ * Threads for the duties of a node, its long-running tasks. A duty processes the events of a bounded
+ * ring buffer or runs a loop that is restarted after a fault.
+ */
 package org.fallturn.node.duty;
--- a/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadFaultTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadFaultTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * An Error once ended the thread of a duty without a line in the log. Its ring filled up, whoever
- * offered events waited for room, and what the duty held was held for good.
+ * Guards against an Error that ends a duty's thread without a log line: the ring then fills up, its
+ * producers wait for free space, and whatever the duty holds is never released.
  */
 class DutyThreadFaultTest {
 
-  private static final Duration LONGEST = Duration.ofSeconds(30);
+  private static final Duration TIMEOUT = Duration.ofSeconds(30);
   private static final int RING_SIZE = 4;
 
-  private final List<String> done = new CopyOnWriteArrayList<>();
+  private final List<String> handled = new CopyOnWriteArrayList<>();
   private final List<String> faults = new CopyOnWriteArrayList<>();
   private volatile boolean tickFails;
 
-  /** Does what its events say. */
-  private final class Scripted implements DutyHandler<String> {
+  /** Throws what an event asks for, and records all other events. */
+  private final class ScriptedHandler implements DutyHandler<String> {
 
     @Override
     public void onEvent(String event) {
@@ -31,7 +31,7 @@
       } else if (event.equals("memory")) {
         throw new OutOfMemoryError("thrown by a test");
       }
-      done.add(event);
+      handled.add(event);
     }
 
     @Override
@@ -44,13 +44,13 @@
 
     @Override
     public void onEnd() {
-      done.add("end");
+      handled.add("end");
       throw new NoClassDefFoundError("c/D");
     }
 
     @Override
     public void onUnhandledEvent(String event) {
-      done.add("late " + event);
+      handled.add("late " + event);
       if (event.equals("2")) {
         throw new NoClassDefFoundError("c/D");
       }
@@ -58,58 +58,58 @@
   }
 
   private DutyThread<String> start(DutyState state) {
-    return new DutyThread<>("test", RING_SIZE, Duration.ofMillis(1), new Scripted())
+    return new DutyThread<>("test", RING_SIZE, Duration.ofMillis(1), new ScriptedHandler())
         .start(state, (duty, fault, answer) -> faults.add(duty + " " + fault.getClass().getName()));
   }
 
-  private static void tell(DutyThread<String> duty, String event) {
-    await().atMost(LONGEST).until(() -> duty.offer(event));
+  private static void publish(DutyThread<String> duty, String event) {
+    await().atMost(TIMEOUT).until(() -> duty.offer(event));
   }
 
   @Test
   void nextEventFollowsAnError() {
     try (DutyThread<String> duty = start(DutyState.LEARNED_AGAIN)) {
-      tell(duty, "error");
-      tell(duty, "next");
-      await().atMost(LONGEST).until(() -> done.contains("next"));
+      publish(duty, "error");
+      publish(duty, "next");
+      await().atMost(TIMEOUT).until(() -> handled.contains("next"));
     }
     assertThat(faults).containsExactly("test java.lang.NoClassDefFoundError");
   }
 
   @Test
-  void errorOfATickIsToldAndEventsFollow() {
+  void errorOfATickIsReportedAndEventsFollow() {
     tickFails = true;
     try (DutyThread<String> duty = start(DutyState.LEARNED_AGAIN)) {
-      await().atMost(LONGEST).until(() -> !tickFails);
-      tell(duty, "next");
-      await().atMost(LONGEST).until(() -> done.contains("next"));
+      await().atMost(TIMEOUT).until(() -> !tickFails);
+      publish(duty, "next");
+      await().atMost(TIMEOUT).until(() -> handled.contains("next"));
     }
     assertThat(faults).hasSize(1);
   }
 
   @Test
-  void dutyWhoseStateIsUnknownGivesUpWhatItHoldsAndTheRingIsStillEmptied() {
+  void dutyThatAloneHoldsItsStateEndsAndTheRingIsStillDrained() {
     try (DutyThread<String> duty = start(DutyState.HELD_ALONE)) {
-      tell(duty, "error");
+      publish(duty, "error");
       for (int event = 0; event < 2 * RING_SIZE; event++) {
-        tell(duty, Integer.toString(event));
+        publish(duty, Integer.toString(event));
       }
-      await().atMost(LONGEST).until(() -> done.contains("late " + (2 * RING_SIZE - 1)));
+      await().atMost(TIMEOUT).until(() -> handled.contains("late " + (2 * RING_SIZE - 1)));
     }
-    assertThat(done).startsWith("end", "late error", "late 0").doesNotContain("0");
+    assertThat(handled).startsWith("end", "late error", "late 0").doesNotContain("0");
     assertThat(faults).hasSize(3);
   }
 
   @Test
-  void dutyEndsForWantOfMemoryOrWhenItIsTold() {
+  void dutyEndsWhenOutOfMemoryOrWhenAskedTo() {
     try (DutyThread<String> duty = start(DutyState.LEARNED_AGAIN)) {
-      tell(duty, "memory");
-      await().atMost(LONGEST).until(() -> done.contains("late memory"));
+      publish(duty, "memory");
+      await().atMost(TIMEOUT).until(() -> handled.contains("late memory"));
     }
-    done.clear();
+    handled.clear();
     try (DutyThread<String> duty = start(DutyState.LEARNED_AGAIN)) {
       duty.end();
-      await().atMost(LONGEST).until(() -> done.contains("end"));
+      await().atMost(TIMEOUT).until(() -> handled.contains("end"));
     }
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadIdleTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadIdleTest.java
@@ -9,6 +9,10 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a duty that stops ticking, or misses the next event, once it has been idle for so
+ * long that it waits for the longer idle interval.
+ */
 class DutyThreadIdleTest {
 
   @Test
