--- a/fallturn-node/src/main/java/org/fallturn/node/application/BackEnd.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/application/BackEnd.java
@@ -5,10 +5,10 @@
 import org.fallturn.core.domain.ZoneName;
 
 /**
- * An application back end that takes new work.
+ * An application back end that accepts new requests.
  *
- * @param id its name in the machine list
- * @param zone where it is
- * @param address its HTTP port
+ * @param id id in the machine list
+ * @param zone zone in which it runs
+ * @param address host and HTTP port
  */
 public record BackEnd(BackEndId id, ZoneName zone, NetworkAddress address) {}
--- a/fallturn-node/src/main/java/org/fallturn/node/application/BackEndSelector.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/application/BackEndSelector.java
@@ -19,9 +19,10 @@
 import org.fallturn.core.port.machines.MachineList;
 
 /**
- * Chooses the back end of each request: live in the machine list, not drained by an operator, in
- * this node's zone if there is one, then with the fewest requests of this node in progress. One
- * that refused a connection is passed over for a moment while others are left. Thread-safe.
+ * Load balancer that selects the back end for each request. Candidates are live in the machine list
+ * and not drained by an operator. Among them it prefers, in this order, back ends that have not
+ * refused a connection in the last two seconds, those of this node's own zone, and those with the
+ * fewest requests in flight from this node. Ties are broken round-robin. Thread-safe.
  */
 public final class BackEndSelector {
 
@@ -33,9 +34,16 @@
   private final LongSupplier nanoClock;
   private final Map<BackEndId, AtomicInteger> inFlight = new ConcurrentHashMap<>();
   private final Map<BackEndId, Long> avoidedUntil = new ConcurrentHashMap<>();
-  private final AtomicLong turns = new AtomicLong();
+  private final AtomicLong roundRobin = new AtomicLong();
 
-  /** A selector with nothing in flight. */
+  /**
+   * Creates a selector with no requests in flight.
+   *
+   * @param machines the current machine list
+   * @param configuration the current configuration, which names the drained machines
+   * @param zone zone of this node
+   * @param nanoClock monotonic clock, in nanoseconds
+   */
   public BackEndSelector(
       Supplier<MachineList> machines,
       Supplier<ConfigurationImage> configuration,
@@ -47,33 +55,42 @@
     this.nanoClock = nanoClock;
   }
 
-  /** Chooses a back end and counts a request on it; empty when none is left. */
+  /**
+   * Selects a back end and counts a request in flight on it until {@link #release}.
+   *
+   * @param service service of the request
+   * @param excluded back ends that must not be selected
+   * @return the back end, or empty if there is no candidate
+   */
   public Optional<BackEnd> acquire(ServiceName service, Set<BackEndId> excluded) {
     List<BackEnd> candidates = candidates(service, excluded);
     if (candidates.isEmpty()) {
       return Optional.empty();
     }
-    int start = (int) (turns.getAndIncrement() % candidates.size());
+    int start = (int) (roundRobin.getAndIncrement() % candidates.size());
     Comparator<BackEnd> order =
         Comparator.<BackEnd, Boolean>comparing(this::isAvoided)
             .thenComparing(backEnd -> !backEnd.zone().equals(zone))
-            .thenComparing(backEnd -> count(backEnd.id()).get());
+            .thenComparing(backEnd -> inFlightCount(backEnd.id()).get());
     BackEnd best = candidates.get(start);
     for (int step = 1; step < candidates.size(); step++) {
       BackEnd next = candidates.get((start + step) % candidates.size());
       best = order.compare(next, best) < 0 ? next : best;
     }
-    count(best.id()).incrementAndGet();
+    inFlightCount(best.id()).incrementAndGet();
     return Optional.of(best);
   }
 
-  /** The request on a back end is over. */
+  /** Records that a request on the back end has ended. */
   public void release(BackEnd backEnd) {
     inFlight.computeIfPresent(
         backEnd.id(), (id, count) -> count.decrementAndGet() <= 0 ? null : count);
   }
 
-  /** A connection to the back end was refused. */
+  /**
+   * Records that a request to the back end failed before it was sent, for example because the
+   * connection was refused. Other back ends are preferred for two seconds.
+   */
   public void avoid(BackEnd backEnd) {
     avoidedUntil.put(backEnd.id(), nanoClock.getAsLong() + AVOID_NANOS);
   }
@@ -90,7 +107,7 @@
         .toList();
   }
 
-  private AtomicInteger count(BackEndId id) {
+  private AtomicInteger inFlightCount(BackEndId id) {
     return inFlight.computeIfAbsent(id, absent -> new AtomicInteger());
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/application/ForwardClient.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/application/ForwardClient.java
@@ -6,17 +6,26 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.node.engine.SendTracker;
 
-/** Sends requests to application back ends, each exactly once. Thread-safe; never blocks. */
+/**
+ * HTTP client that forwards requests to application back ends, without retries. Thread-safe; never
+ * blocks.
+ */
 public final class ForwardClient {
 
   private final HttpClient client;
 
-  /** Uses a started client that this class does not stop. */
+  /** Creates a client over a started Jetty client, which the caller must stop. */
   public ForwardClient(HttpClient client) {
     this.client = client;
   }
 
-  /** Sends a request; what follows goes to the listener. */
+  /**
+   * Sends a request once.
+   *
+   * @param address host and port of the back end
+   * @param forwarded the request
+   * @param listener receives the response or the failure
+   */
   public ForwardExchange send(
       NetworkAddress address, ForwardedRequest forwarded, ForwardListener listener) {
     Request request =
--- a/fallturn-node/src/main/java/org/fallturn/node/application/ForwardExchange.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/application/ForwardExchange.java
@@ -10,17 +10,18 @@
 import org.fallturn.node.engine.SendTracker;
 
 /**
- * One request at one back end. The answer is read by asynchronous demand, one network read at a
- * time. Thread-safe towards its owner.
+ * One request to one back end and its response. The response is read with backpressure, one network
+ * read at a time: the next read waits for {@link #resume()}. Any thread may call {@link #resume()}
+ * and {@link #abort()}.
  */
 public final class ForwardExchange implements Response.Listener {
 
-  private static final Runnable NOTHING_TO_RESUME = () -> {};
+  private static final Runnable NO_DEMAND = () -> {};
 
   private final Request request;
   private final SendTracker tracker;
   private final ForwardListener listener;
-  private final AtomicReference<Runnable> demander = new AtomicReference<>(NOTHING_TO_RESUME);
+  private final AtomicReference<Runnable> pendingDemand = new AtomicReference<>(NO_DEMAND);
 
   ForwardExchange(Request request, SendTracker tracker, ForwardListener listener) {
     this.request = request;
@@ -28,12 +29,12 @@
     this.listener = listener;
   }
 
-  /** Reads on after {@link ForwardListener#onContent}. */
+  /** Requests the next read after {@link ForwardListener#onContent}. */
   public void resume() {
-    demander.getAndSet(NOTHING_TO_RESUME).run();
+    pendingDemand.getAndSet(NO_DEMAND).run();
   }
 
-  /** Drops the exchange and its connection. */
+  /** Aborts the exchange and closes its connection. */
   public void abort() {
     request.abort(new CancellationException("the answer is no longer needed"));
   }
@@ -47,7 +48,7 @@
   public void onContent(Response response, Content.Chunk chunk, Runnable demand) {
     byte[] content = new byte[chunk.getByteBuffer().remaining()];
     chunk.getByteBuffer().get(content);
-    demander.set(demand);
+    pendingDemand.set(demand);
     listener.onContent(content);
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/application/ForwardListener.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/application/ForwardListener.java
@@ -4,22 +4,29 @@
 import org.fallturn.core.request.AttemptFailure;
 
 /**
- * Hears of one back end's answer, in order, on one thread at a time. After {@link #onEnd} or {@link
- * #onFailure} nothing follows.
+ * Receives the parts of one back end's response, in order and on one thread at a time. Either
+ * {@link #onEnd} or {@link #onFailure} is the last call.
  */
 public interface ForwardListener {
 
-  /** The answer's status and headers. */
+  /**
+   * Receives the status line and the headers.
+   *
+   * @param status HTTP status code
+   * @param headers headers of the response
+   */
   void onHead(int status, HttpFields headers);
 
   /**
-   * The next bytes of the answer, a copy. The next read waits for {@link ForwardExchange#resume()}.
+   * Receives the next bytes of the body. The next read waits for {@link ForwardExchange#resume()}.
+   *
+   * @param content a copy of the bytes
    */
   void onContent(byte[] content);
 
-  /** The answer is whole. */
+  /** Called when the response is complete. */
   void onEnd();
 
-  /** The answer failed, before or after its head. */
+  /** Called when the exchange failed, before or after {@link #onHead}. */
   void onFailure(AttemptFailure failure);
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/application/package-info.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/application/package-info.java
@@ -1,2 +1,2 @@
-/** Client of the application back ends: choice of a back end and forwarding of one request. */
+/** HTTP client for application back ends: load balancing and forwarding of single requests. */
 package org.fallturn.node.application;
--- a/fallturn-node/src/main/java/org/fallturn/node/command/CheckCommand.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/CheckCommand.java
@@ -12,7 +12,7 @@
 import org.fallturn.node.settings.SettingMistake;
 import org.fallturn.node.settings.SettingsReader;
 
-/** {@code fallturn check}: finds every mistake in a settings file, or lists all settings. */
+/** {@code fallturn check}: reports all mistakes in a settings file, or lists all settings. */
 public final class CheckCommand implements Command {
 
   private static final String FILE = "file";
@@ -21,7 +21,7 @@
 
   private final PrintStream out;
 
-  /** Prints to the given stream. */
+  /** Creates the command; it prints to the given stream. */
   public CheckCommand(PrintStream out) {
     this.out = out;
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/command/Command.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/Command.java
@@ -3,30 +3,31 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 
-/** One sub-command of a program. Called on the main thread. */
+/** A sub-command of a command-line program. Called on the main thread. */
 public interface Command {
 
-  /** Exit code of a run that did what was asked. */
+  /** Exit code of a successful run. */
   int OK = 0;
 
   /** Exit code of a run that failed. */
   int FAILED = 1;
 
-  /** Exit code of a run that was asked for wrongly. */
+  /** Exit code for wrong arguments. */
   int USAGE = 2;
 
-  /** The word that picks it. */
+  /** Returns the name that selects the command on the command line. */
   String name();
 
-  /** One line of help. */
+  /** Returns the help text, one line. */
   String help();
 
-  /** Declares its arguments. */
+  /** Declares the command's arguments. */
   void declare(Subparser parser);
 
   /**
-   * Runs it.
+   * Runs the command.
    *
+   * @param arguments the parsed arguments
    * @return the exit code
    */
   int run(Namespace arguments) throws Exception;
--- a/fallturn-node/src/main/java/org/fallturn/node/command/NodeCommand.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/NodeCommand.java
@@ -12,8 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * {@code fallturn node}: runs one node until SIGTERM or SIGINT, which begin a planned stop. Prints
- * one line {@code listening PORT ADDRESS} for each port once it is bound.
+ * {@code fallturn node}: runs one node until SIGTERM or SIGINT, which begin a planned stop. Once
+ * all ports are bound, prints a line {@code listening PORT ADDRESS} for each of them, where PORT is
+ * its name, and then {@code started NODE}.
  */
 public final class NodeCommand implements Command {
 
@@ -21,7 +22,7 @@
 
   private final PrintStream out;
 
-  /** Prints the addresses to the given stream. */
+  /** Creates the command; it prints the addresses to the given stream. */
   public NodeCommand(PrintStream out) {
     this.out = out;
   }
@@ -65,7 +66,10 @@
     out.flush();
   }
 
-  /** Runs in the shutdown hook; halting there is what lets a planned stop exit with 0. */
+  /**
+   * Runs in the shutdown hook. Halts the JVM, since otherwise a planned stop would exit with the
+   * code of the signal instead of 0.
+   */
   private static void stop(NodeServer server) {
     int exitCode = FAILED;
     try {
--- a/fallturn-node/src/main/java/org/fallturn/node/command/SettingsArguments.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/SettingsArguments.java
@@ -11,7 +11,10 @@
 import org.fallturn.node.settings.SettingsException;
 import org.fallturn.node.settings.SettingsReader;
 
-/** A settings file and one flag a setting, {@code --section.field VALUE}. */
+/**
+ * Command-line arguments for the settings of a node: a settings file, and for each setting a flag
+ * {@code --section.field VALUE} that overrides the file.
+ */
 final class SettingsArguments {
 
   private static final String FILE = "settings";
@@ -20,7 +23,7 @@
 
   static void declare(Subparser parser) {
     parser.addArgument("--" + FILE).metavar("FILE").help("settings file (TOML)");
-    ArgumentGroup group = parser.addArgumentGroup("settings (a flag wins over the file)");
+    ArgumentGroup group = parser.addArgumentGroup("settings (a flag overrides the file)");
     for (SettingDefinition<?> definition : NodeSettings.definitions()) {
       group
           .addArgument("--" + definition.key())
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyThread.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyThread.java
@@ -97,7 +97,11 @@
     return this;
   }
 
-  /** Publishes an event to the ring; returns false when the ring is full and the event was not added. */
+  /**
+   * Publishes an event to the ring.
+   *
+   * @return false if the ring is full; the event is not published then
+   */
   public boolean offer(E event) {
     return ring.tryPublishEvent((slot, sequence) -> slot.event = event);
   }
@@ -135,7 +139,10 @@
     }
   }
 
-  /** Ends the duty if decided so. Does not pause otherwise: that would only delay the next events. */
+  /**
+   * Ends the duty if the decision says so. Otherwise the duty continues without a pause, since a
+   * pause would only delay its next events.
+   */
   private void applyDecision(FaultDecision decision) {
     if (!decision.goesOn()) {
       end();
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
@@ -13,7 +13,8 @@
   FaultListener LOG_ONLY =
       (duty, fault, decision) ->
           LoggerFactory.getLogger(FaultListener.class)
-              .error("duty: {} failed and {}.", duty, decision.goesOn() ? "goes on" : "ends", fault);
+              .error(
+                  "duty: {} failed and {}.", duty, decision.goesOn() ? "goes on" : "ends", fault);
 
   /**
    * Called on the duty's thread after a fault.
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
@@ -6,12 +6,12 @@
  * Decides how one duty continues after each of its faults: after a pause with exponential backoff,
  * or not at all. Uses no clock and does no I/O. Not thread-safe.
  *
- * <p>Repeated faults form a series. The pause doubles with each fault of a series, up to a bound, so
- * that neither the log nor a dependency is flooded.
+ * <p>Repeated faults form a series. The pause doubles with each fault of a series, up to a bound,
+ * so that neither the log nor a dependency is flooded.
  *
  * <ul>
- *   <li>Exceptions do not end a duty. An exception is mostly caused by one input, and every node may
- *       receive that input.
+ *   <li>Exceptions do not end a duty. An exception is mostly caused by one input, and every node
+ *       may receive that input.
  *   <li>Ticks that keep failing are different, since ticks enforce deadlines: they end a duty that
  *       is the only holder of its state.
  *   <li>An {@link Error} concerns the process. A single one ends a duty that is the only holder of
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/HealthRoutes.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/HealthRoutes.java
@@ -11,8 +11,9 @@
 import org.fallturn.node.http.HttpRouter;
 
 /**
- * {@code /healthz} (the process runs), {@code /readyz} (it should get callers) and {@code
- * /metrics}. Called on server threads.
+ * HTTP routes for probes and monitoring: {@code /healthz} (liveness: the process runs), {@code
+ * /readyz} (readiness: the node accepts callers) and {@code /metrics} (Prometheus text format).
+ * Called on server threads.
  */
 public final class HealthRoutes {
 
@@ -23,13 +24,18 @@
   private final NodeHealth health;
   private final PrometheusMeterRegistry registry;
 
-  /** Routes over a node's health and meters. */
+  /**
+   * Creates the routes.
+   *
+   * @param health readiness of the node
+   * @param registry the meters that {@code /metrics} shows
+   */
   public HealthRoutes(NodeHealth health, PrometheusMeterRegistry registry) {
     this.health = health;
     this.registry = registry;
   }
 
-  /** Adds the three routes. */
+  /** Adds the three routes to a router. */
   public void addTo(HttpRouter router) {
     router.route(
         GET,
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/LogSetup.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/LogSetup.java
@@ -17,8 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sets Logback up from the settings: one appender on standard error, as text or JSON lines. Called
- * once, before anything else logs.
+ * Configures Logback in code, with a single appender: to standard error, to a file, or through a
+ * queue to standard output. A process calls one of the {@code apply} methods once, before anything
+ * logs.
  */
 public final class LogSetup {
 
@@ -29,13 +30,25 @@
 
   private LogSetup() {}
 
-  /** Replaces the present set-up: lines on standard error, written by whoever logs. */
+  /**
+   * Replaces the current configuration by one that logs to standard error. The logging thread
+   * writes the line itself.
+   *
+   * @param format text or JSON lines
+   * @param level lowest level that is written
+   */
   public static void apply(LogFormat format, LogLevel level) {
     LoggerContext context = emptyContext();
     install(context, level, console(context, "System.err", format));
   }
 
-  /** Replaces the present set-up: lines of text in a file, written by whoever logs. */
+  /**
+   * Replaces the current configuration by one that logs lines of text to a file. The logging thread
+   * writes the line itself.
+   *
+   * @param file the log file
+   * @param level lowest level that is written
+   */
   public static void applyFile(Path file, LogLevel level) {
     LoggerContext context = emptyContext();
     FileAppender<ILoggingEvent> appender = new FileAppender<>();
@@ -47,8 +60,11 @@
   }
 
   /**
-   * One JSON object a line on standard output, written by a thread of its own. A reader that does
-   * not read costs lines, never time: what the bounded queue cannot take is dropped.
+   * Replaces the current configuration by one that logs a JSON object per line to standard output.
+   * A separate thread writes the lines. If the reader of the output stalls, lines are dropped once
+   * the bounded queue is full, but logging threads never wait.
+   *
+   * @param level lowest level that is written
    */
   public static void applyStructured(LogLevel level) {
     LoggerContext context = emptyContext();
@@ -61,7 +77,7 @@
   }
 
   /**
-   * Writes what waits in the queue, for as long as a reader takes it, and then no more. For a
+   * Writes the lines that are left in the queue, within a time limit, and stops logging. For a
    * process that is about to end.
    */
   public static void finish() {
@@ -72,8 +88,8 @@
   }
 
   /**
-   * Lines that were dropped since the last call, once there is room to say so; 0 otherwise, and
-   * where lines are not queued.
+   * Returns the number of lines dropped since the last call. Returns 0, and keeps counting, while
+   * the queue has no room for a line that reports the number; also 0 if lines are not queued.
    */
   public static long takeDroppedLines() {
     LogQueue queue = QUEUE.get();
@@ -104,14 +120,14 @@
     setLevel(level);
   }
 
-  /** Changes the lowest level that is written. */
+  /** Sets the lowest level that is written for this project's loggers. */
   public static void setLevel(LogLevel level) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.getLogger("org.fallturn").setLevel(Level.valueOf(level.name()));
   }
 
-  /** Writing a line takes processor time, and these fields say the same on each. */
-  private static void leaveOutWhatEveryLineRepeats(JsonEncoder encoder) {
+  /** Omits fields that have the same value in every line, since writing them costs CPU time. */
+  private static void omitConstantFields(JsonEncoder encoder) {
     encoder.setWithContext(false);
     encoder.setWithSequenceNumber(false);
     encoder.setWithMDC(false);
@@ -122,7 +138,7 @@
     if (format == LogFormat.JSON) {
       JsonEncoder encoder = new JsonEncoder();
       encoder.setContext(context);
-      leaveOutWhatEveryLineRepeats(encoder);
+      omitConstantFields(encoder);
       encoder.start();
       return encoder;
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/NodeHealth.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/NodeHealth.java
@@ -7,8 +7,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Whether this node should get callers. It is ready once every condition that was declared has been
- * met and no stop has begun; a stop cannot be undone. Thread-safe.
+ * Readiness of this node to accept callers. The node is ready while every declared condition is met
+ * and no planned stop has begun; a stop cannot be undone. Thread-safe.
  */
 public final class NodeHealth {
 
@@ -16,27 +16,36 @@
   private final Map<String, BooleanSupplier> checks = new LinkedHashMap<>();
   private boolean stopping;
 
-  /** Declares a condition that is not met yet. */
+  /**
+   * Declares a condition that is not met yet; {@link #set} changes it.
+   *
+   * @param condition its name, as {@code /readyz} shows it
+   */
   public synchronized void require(String condition) {
     conditions.putIfAbsent(condition, false);
   }
 
-  /** Declares a condition that is looked up whenever the health is asked for. */
+  /**
+   * Declares a condition that is evaluated at each query of the readiness.
+   *
+   * @param condition its name, as {@code /readyz} shows it
+   * @param met whether the condition is met
+   */
   public synchronized void require(String condition, BooleanSupplier met) {
     checks.put(condition, met);
   }
 
-  /** Notes that a condition is met from now on, or no longer. */
+  /** Records whether a condition is met from now on. */
   public synchronized void set(String condition, boolean met) {
     conditions.put(condition, met);
   }
 
-  /** A planned stop has begun. */
+  /** Records that a planned stop has begun. */
   public synchronized void stop() {
     stopping = true;
   }
 
-  /** What stands in the way of callers; empty when the node is ready. */
+  /** Returns the reasons why the node is not ready; empty when it is ready. */
   public synchronized List<String> notReadyReasons() {
     List<String> notReadyReasons = new ArrayList<>();
     if (stopping) {
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/NodeMeters.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/NodeMeters.java
@@ -6,12 +6,12 @@
 import io.micrometer.prometheusmetrics.PrometheusConfig;
 import io.micrometer.prometheusmetrics.PrometheusMeterRegistry;
 
-/** Makes the registry that holds every meter of a node. Thread-safe. */
+/** Creates the registry that holds all meters of a node. Thread-safe. */
 public final class NodeMeters {
 
   private NodeMeters() {}
 
-  /** A registry with the process's own meters: memory, threads and processor. */
+  /** Creates a registry with the meters of the JVM process: memory, threads and CPU. */
   public static PrometheusMeterRegistry registry() {
     PrometheusMeterRegistry registry = new PrometheusMeterRegistry(PrometheusConfig.DEFAULT);
     new JvmMemoryMetrics().bindTo(registry);
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/PlainLogProvider.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/PlainLogProvider.java
@@ -9,21 +9,21 @@
 import org.slf4j.spi.SLF4JServiceProvider;
 
 /**
- * Gives SLF4J a Logback context that nobody has configured. The log is set up from the settings by
- * {@link LogSetup}; Logback's own provider would first search for configuration files and compare
- * versions, which takes a good part of a process's start. Named by the property {@code
- * slf4j.provider}.
+ * SLF4J provider that returns an unconfigured Logback context; {@link LogSetup} configures it from
+ * the settings. Logback's own provider first searches for configuration files and compares
+ * versions, which takes a good part of a process's start time. The system property {@code
+ * slf4j.provider} selects this class.
  */
 public final class PlainLogProvider implements SLF4JServiceProvider {
 
-  /** The newest version of SLF4J that this class was written for. */
+  /** The newest version of the SLF4J API that this class supports. */
   private static final String SLF4J_VERSION = "2.0.99";
 
   private final LoggerContext context = new LoggerContext();
   private final IMarkerFactory markers = new BasicMarkerFactory();
   private final LogbackMDCAdapter diagnosticContext = new LogbackMDCAdapter();
 
-  /** Called by SLF4J through reflection. */
+  /** Creates the provider; SLF4J calls this by reflection. */
   public PlainLogProvider() {
     context.setName("default");
     context.setMDCAdapter(diagnosticContext);
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/package-info.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/package-info.java
@@ -1,2 +1,2 @@
-/** Metrics, health and readiness of a node, and the set-up of its log. */
+/** Metrics, liveness and readiness of a node, and the configuration of its log. */
 package org.fallturn.node.metrics;
--- a/fallturn-node/src/test/java/org/fallturn/node/application/BackEndSelectorTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/application/BackEndSelectorTest.java
@@ -18,18 +18,21 @@
 import org.fallturn.core.port.machines.MachineList;
 import org.junit.jupiter.api.Test;
 
-/** Which back end a request gets. */
+/**
+ * Guards against requests that go to a machine that is leaving or drained, to another zone without
+ * need, or to a back end that has just refused a connection.
+ */
 class BackEndSelectorTest {
 
   private static final ServiceName SERVICE = new ServiceName("stock");
-  private static final ZoneName NEAR = new ZoneName("lakua");
-  private static final ZoneName FAR = new ZoneName("jundiz");
+  private static final ZoneName OWN_ZONE = new ZoneName("lakua");
+  private static final ZoneName OTHER_ZONE = new ZoneName("jundiz");
 
   private MachineList machines = new MachineList(1, List.of());
   private ConfigurationImage image = ConfigurationImage.EMPTY;
   private long nowNanos;
   private final BackEndSelector selector =
-      new BackEndSelector(() -> machines, () -> image, NEAR, () -> nowNanos);
+      new BackEndSelector(() -> machines, () -> image, OWN_ZONE, () -> nowNanos);
 
   private static Machine machine(String id, ZoneName zone, Machine.State state) {
     return new Machine(
@@ -44,7 +47,7 @@
         state);
   }
 
-  private String choose(BackEndId... excluded) {
+  private String select(BackEndId... excluded) {
     return selector
         .acquire(SERVICE, Set.of(excluded))
         .map(backEnd -> backEnd.id().value())
@@ -52,25 +55,26 @@
   }
 
   @Test
-  void nearBackEndsShareTheWorkAndFarOnesWait() {
+  void backEndsOfTheOwnZoneShareTheLoadBeforeThoseOfOthers() {
     machines =
         new MachineList(
             1,
             List.of(
-                machine("a", NEAR, Machine.State.LIVE),
-                machine("b", NEAR, Machine.State.LIVE),
-                machine("c", FAR, Machine.State.LIVE)));
-    assertThat(List.of(choose(), choose())).containsExactlyInAnyOrder("a", "b");
-    assertThat(choose(new BackEndId("a"), new BackEndId("b"))).isEqualTo("c");
+                machine("a", OWN_ZONE, Machine.State.LIVE),
+                machine("b", OWN_ZONE, Machine.State.LIVE),
+                machine("c", OTHER_ZONE, Machine.State.LIVE)));
+    assertThat(List.of(select(), select())).containsExactlyInAnyOrder("a", "b");
+    assertThat(select(new BackEndId("a"), new BackEndId("b"))).isEqualTo("c");
   }
 
   @Test
-  void leavingAndDrainedBackEndsGetNothing() {
+  void leavingAndDrainedBackEndsGetNoRequests() {
     machines =
         new MachineList(
             1,
             List.of(
-                machine("a", NEAR, Machine.State.LEAVING), machine("b", NEAR, Machine.State.LIVE)));
+                machine("a", OWN_ZONE, Machine.State.LEAVING),
+                machine("b", OWN_ZONE, Machine.State.LIVE)));
     image =
         new ConfigurationImage(
             1,
@@ -81,21 +85,23 @@
             Map.of(),
             Map.of("b", new MachineDrainRecord("b", "repair")),
             Map.of());
-    assertThat(choose()).isEqualTo("none");
+    assertThat(select()).isEqualTo("none");
   }
 
   @Test
-  void oneThatRefusedAConnectionIsPassedOverForAMoment() {
+  void backEndThatRefusedAConnectionIsAvoidedForAWhile() {
     machines =
         new MachineList(
             1,
-            List.of(machine("a", NEAR, Machine.State.LIVE), machine("b", FAR, Machine.State.LIVE)));
+            List.of(
+                machine("a", OWN_ZONE, Machine.State.LIVE),
+                machine("b", OTHER_ZONE, Machine.State.LIVE)));
     BackEnd near = selector.acquire(SERVICE, Set.of()).orElseThrow();
     selector.release(near);
     selector.avoid(near);
-    assertThat(choose()).isEqualTo("b");
-    assertThat(choose(new BackEndId("b"))).isEqualTo("a");
+    assertThat(select()).isEqualTo("b");
+    assertThat(select(new BackEndId("b"))).isEqualTo("a");
     nowNanos = Duration.ofSeconds(3).toNanos();
-    assertThat(choose()).isEqualTo("a");
+    assertThat(select()).isEqualTo("a");
   }
 }
--- a/fallturn-node/src/test/java/org/fallturn/node/duty/FaultPolicyTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/duty/FaultPolicyTest.java
@@ -19,7 +19,8 @@
   @Test
   void pausesDoubleUpToABound() {
     assertThat(restartable.onFault(ERROR, 0).pauseNanos()).isEqualTo(FaultPolicy.FIRST_PAUSE_NANOS);
-    assertThat(restartable.onFault(ERROR, 1).pauseNanos()).isEqualTo(2 * FaultPolicy.FIRST_PAUSE_NANOS);
+    assertThat(restartable.onFault(ERROR, 1).pauseNanos())
+        .isEqualTo(2 * FaultPolicy.FIRST_PAUSE_NANOS);
     FaultDecision last = restartable.onFault(ERROR, 2);
     for (int more = 0; more < 100; more++) {
       last = restartable.onFault(new IllegalStateException(), 3);
@@ -40,8 +41,8 @@
     for (int count = 0; count < FaultPolicy.MAX_ERRORS_IN_SERIES; count++) {
       restartable.onFault(ERROR, 0);
     }
-    FaultDecision answer = restartable.onFault(ERROR, FaultPolicy.FAULT_SERIES_GAP_NANOS + 1);
-    assertThat(answer).isEqualTo(new FaultDecision(true, FaultPolicy.FIRST_PAUSE_NANOS));
+    FaultDecision decision = restartable.onFault(ERROR, FaultPolicy.FAULT_SERIES_GAP_NANOS + 1);
+    assertThat(decision).isEqualTo(new FaultDecision(true, FaultPolicy.FIRST_PAUSE_NANOS));
   }
 
   @Test
--- a/fallturn-node/src/test/java/org/fallturn/node/metrics/HealthRoutesTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/metrics/HealthRoutesTest.java
@@ -15,6 +15,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a node that reports itself ready before its conditions are met or while it stops,
+ * and against meters that are missing in the Prometheus output.
+ */
 class HealthRoutesTest {
 
   private final NodeHealth health = new NodeHealth();
--- a/fallturn-node/src/test/java/org/fallturn/node/metrics/LogQueueTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/metrics/LogQueueTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Whoever logs must not wait for a reader that does not read. */
+/**
+ * Guards against logging threads that wait for an output whose reader has stalled, and against the
+ * loss of lines about the node itself when lines about requests fill the queue.
+ */
 class LogQueueTest {
 
   private static final int SIZE = 100;
@@ -24,19 +27,19 @@
 
   private final LoggerContext context = new LoggerContext();
   private final CountDownLatch entered = new CountDownLatch(1);
-  private final CountDownLatch reads = new CountDownLatch(1);
+  private final CountDownLatch released = new CountDownLatch(1);
   private final List<String> written = new CopyOnWriteArrayList<>();
   private final LogQueue queue = new LogQueue(SIZE);
   private final Logger logger = context.getLogger("test");
 
-  /** Output that nobody reads until it is allowed. */
-  private final class SlowOutput extends AppenderBase<ILoggingEvent> {
+  /** Output that blocks, as if its reader had stalled, until the test releases it. */
+  private final class BlockedOutput extends AppenderBase<ILoggingEvent> {
 
     @Override
     protected void append(ILoggingEvent event) {
       entered.countDown();
       try {
-        reads.await();
+        released.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -47,7 +50,7 @@
   @BeforeEach
   void start() throws InterruptedException {
     context.setMDCAdapter(new LogbackMDCAdapter());
-    SlowOutput output = new SlowOutput();
+    BlockedOutput output = new BlockedOutput();
     output.setContext(context);
     output.start();
     queue.setContext(context);
@@ -61,7 +64,7 @@
 
   @AfterEach
   void stop() {
-    reads.countDown();
+    released.countDown();
     context.stop();
   }
 
@@ -75,7 +78,7 @@
   void linesAreDroppedAndCountedWhileNobodyReads() {
     logRequests();
     assertThat(queue.hasRoom()).isFalse();
-    reads.countDown();
+    released.countDown();
     await().until(queue::hasRoom);
     long dropped = queue.takeDropped();
     assertThat(dropped).isPositive().isLessThan(LINES);
@@ -83,23 +86,23 @@
     assertThat(queue.takeDropped()).isZero();
   }
 
-  /** A process that ends as planned writes its last lines, the one that says so among them. */
+  /** A planned stop must write the lines left in the queue, including the one about the stop. */
   @Test
-  void linesThatWaitAreWrittenBeforeTheEnd() {
+  void queuedLinesAreWrittenBeforeTheEnd() {
     logger.atInfo().addKeyValue("event", "STOPPED").log("the last line");
-    reads.countDown();
+    released.countDown();
     queue.stop();
     assertThat(written).containsExactly("the line that nobody reads", "the last line");
   }
 
   @Test
-  void linesAboutTheNodeHaveRoomWhenThoseAboutRequestsHaveNone() {
+  void linesAboutTheNodeHaveRoomWhenLinesAboutRequestsAreDropped() {
     logRequests();
     long before = queue.takeDropped();
     assertThat(before).isPositive();
     logger.atInfo().addKeyValue("event", "STOPPING").log("about the node");
     assertThat(queue.takeDropped()).isZero();
-    reads.countDown();
+    released.countDown();
     await().until(() -> written.contains("about the node"));
   }
 }
