--- a/fallturn-core/src/main/java/org/fallturn/core/admission/QuotaLedger.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/admission/QuotaLedger.java
@@ -161,11 +161,11 @@
 
   private double level(QuotaAmounts budget, ToDoubleFunction<QuotaAmounts> part) {
     List<Entry> all = List.copyOf(entries.values());
-    double[] wishes = new double[all.size()];
-    for (int index = 0; index < wishes.length; index++) {
-      wishes[index] = part.applyAsDouble(all.get(index).wanted());
+    double[] demands = new double[all.size()];
+    for (int index = 0; index < demands.length; index++) {
+      demands[index] = part.applyAsDouble(all.get(index).wanted());
     }
-    return FairDivision.level(part.applyAsDouble(budget), wishes);
+    return FairDivision.level(part.applyAsDouble(budget), demands);
   }
 
   private static QuotaAmounts wholeNumbers(QuotaAmounts share) {
--- a/fallturn-core/src/main/java/org/fallturn/core/admission/QuotaNode.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/admission/QuotaNode.java
@@ -246,17 +246,17 @@
   }
 
   private List<QuotaAction> askShares(Set<QuotaKey> keys, long nowNanos) {
-    Map<NodeId, List<ShareRequest>> wishes = new HashMap<>();
+    Map<NodeId, List<ShareRequest>> requests = new HashMap<>();
     for (QuotaKey key : keys) {
       NodeId to = ownerOf(key.tenant());
       if (!askedNanos.containsKey(to)) {
-        wishes
+        requests
             .computeIfAbsent(to, node -> new ArrayList<>())
             .add(holder.request(key, limits(nowNanos), nowNanos));
       }
     }
     List<QuotaAction> actions = new ArrayList<>();
-    wishes.forEach(
+    requests.forEach(
         (to, list) -> {
           number++;
           askedNanos.put(to, nowNanos);
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/ApplicationQueue.java
@@ -135,7 +135,7 @@
     for (ServingEngine engine : engines) {
       double slowness = selector.slowness(engine, WorkKind.APPLICATION, nowNanos);
       double boundByTime = maxPerSlot * Math.max(1, engine.slots()) / slowness;
-      double bound = Math.min(boundByTime, saturationLimits.most(engine.id(), nowNanos));
+      double bound = Math.min(boundByTime, saturationLimits.maxRequests(engine.id(), nowNanos));
       free += Math.max(0, bound - selector.running(engine, nowNanos));
       most += bound;
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/Dispatcher.java
@@ -83,10 +83,7 @@
     refusals.setParameters(changed);
   }
 
-  /**
-   * Applies a newer list of engines; {@link #directory} returns it together with what engines
-   * reported about leaving.
-   */
+  /** Applies a newer list of engines; {@link #directory} adds what engines report about leaving. */
   public void setDirectory(EngineDirectory directory, long nowNanos) {
     listedEngines = directory;
     fleet.setListed(directory);
@@ -100,18 +97,12 @@
     quarantine.onDirectory(engineId -> directory.find(engineId).isPresent(), nowNanos);
   }
 
-  /**
-   * The listed engines. An engine that announced that it is leaving is marked as leaving, whatever
-   * its entry says.
-   */
+  /** The listed engines; one that announced its leaving is marked so, whatever its entry says. */
   public EngineDirectory directory() {
     return listedEngines.withLeaving(notices::isLeaving);
   }
 
-  /**
-   * Engines that were found to be leaving since the last call. From now on they get requests only
-   * while their service has no other engine.
-   */
+  /** Engines found to leave since the last call, now used only if their service has no other. */
   public List<LeavingNotice> takeLeaving(long nowNanos) {
     List<LeavingNotice> found = notices.takePending();
     if (!found.isEmpty()) {
@@ -131,9 +122,7 @@
     routing = Optional.of(image);
   }
 
-  /**
-   * The load that the other nodes report for the engines; whoever receives their reports adds them.
-   */
+  /** The load that other nodes report for the engines; whoever receives their reports adds them. */
   public PeerLoads peerLoads() {
     return peerLoads;
   }
@@ -153,10 +142,7 @@
     return notices;
   }
 
-  /**
-   * What the nodes report to each other about engines: the reports received, and those of this
-   * node.
-   */
+  /** What nodes report to each other about engines: received reports, and those of this node. */
   public FleetView fleet() {
     return fleet;
   }
@@ -166,10 +152,7 @@
     return selector.find(engineId);
   }
 
-  /**
-   * Request contents that crash engines; whoever receives reports of them from other nodes or the
-   * store adds them.
-   */
+  /** Contents that crash engines, added by whoever gets reports from other nodes or the store. */
   public Quarantine quarantine() {
     return quarantine;
   }
@@ -192,9 +175,8 @@
   }
 
   /**
-   * The stage change that this node should order now, if any; called about every 100 ms. The caller
-   * reports through {@link #onStageChangeBegun} that it orders the change, and through {@link
-   * #stages} when the order was not given, was refused or got no answer.
+   * The stage change to order now, if any; called about every 100 ms. The caller reports the order
+   * by {@link #onStageChangeBegun}; one not given, refused or unanswered, by {@link #stages}.
    */
   public Optional<StageChange> wantedStageChange(long nowNanos) {
     return routing.flatMap(image -> stages.onTick(image.services(), nowNanos));
@@ -231,10 +213,7 @@
     return changes;
   }
 
-  /**
-   * Engines that were found to be slower or faster than others, or no longer so, since the last
-   * call.
-   */
+  /** Engines found to be slower or faster than others, or no longer so, since the last call. */
   public List<PaceChange> takePaceChanges(long nowNanos) {
     return pace.takeChanges(nowNanos);
   }
@@ -244,11 +223,7 @@
     progress.engine().map(selector::load).ifPresent(load -> load.onSignOfLife(progress, nowNanos));
   }
 
-  /**
-   * Sets the number of nodes that share the retry budget and the limits, this one included.
-   *
-   * @param count empty while it is not known
-   */
+  /** Sets how many nodes, with this one, share the retry budget and limits; empty if unknown. */
   public void setNodeCount(OptionalInt count) {
     fleet.setNodeCount(count);
     retries.setNodeCount(count);
@@ -263,11 +238,7 @@
     return place(progress, nowNanos);
   }
 
-  /**
-   * The prompt has been read.
-   *
-   * @param handle names the KV cache at the engine, which another engine can fetch
-   */
+  /** The prompt has been read; the handle names its KV cache, which another engine can fetch. */
   public Decision onPrefilled(RequestProgress progress, String handle, long nowNanos) {
     ServingEngine engine = progress.engine().orElseThrow();
     EngineLoad load = selector.load(engine);
@@ -293,12 +264,7 @@
     progress.promptRead();
   }
 
-  /**
-   * Why an attempt that has brought no part of an answer should be given up; empty while it should
-   * be waited for.
-   *
-   * @param timeout timeout of the attempt
-   */
+  /** Why to give up an attempt that has brought no part of an answer; empty while to wait on. */
   public Optional<StuckReason> stuck(RequestProgress progress, Duration timeout, long nowNanos) {
     return silence.stuck(progress, timeout, nowNanos);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/FleetView.java
@@ -76,7 +76,7 @@
     if (engine.leaving() > 0) {
       notices.onLeaving(engineId, NoticeSource.PEER, nowNanos);
     }
-    notices.limits().onPeerReport(engineId, engine.limit().word(), nowNanos);
+    notices.limits().onPeerReport(engineId, engine.limit().announced(), nowNanos);
   }
 
   private void updatePeerLimits(long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/StageControl.java
@@ -42,12 +42,12 @@
   private static final Duration UNANSWERED_ORDER_TIME = Duration.ofSeconds(13);
 
   /**
-   * How long this node leaves the orders to another one after it could not act for all nodes, for
+   * How long this node leaves the orders to another one after it failed in the leader's duty, for
    * example because the store did not answer it. When the right to order moves back, nobody orders
    * for the term of the lease and its quiet time, so it should not move back soon. This value is an
    * estimate.
    */
-  private static final long LEASE_DENIED_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(20);
+  private static final long LEADER_DUTY_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(20);
 
   private final EngineSelector selector;
   private final PeerLoads peerLoads;
@@ -55,7 +55,7 @@
   private final String node;
   private final StageParameters parameters;
   private final Map<String, StagePlanner> planners = new HashMap<>();
-  private OptionalLong leaseDeniedNanos = OptionalLong.empty();
+  private OptionalLong leaderDutyFailedNanos = OptionalLong.empty();
   private boolean candidate = true;
 
   StageControl(
@@ -137,16 +137,16 @@
   }
 
   private boolean isServed(long nowNanos) {
-    return leaseDeniedNanos.isEmpty()
-        || nowNanos - leaseDeniedNanos.getAsLong() >= LEASE_DENIED_PAUSE_NANOS;
+    return leaderDutyFailedNanos.isEmpty()
+        || nowNanos - leaderDutyFailedNanos.getAsLong() >= LEADER_DUTY_PAUSE_NANOS;
   }
 
   /**
-   * Records that this node cannot act for all nodes at present, though another node may be able to.
-   * For example, the store did not answer this node's call for the lease, but may serve others.
+   * Records that this node cannot carry out the leader's duty, for example since a call to the
+   * store or the platform failed. Another node may be able to, since the store may serve that one.
    */
-  public void onLeaseDenied(long nowNanos) {
-    leaseDeniedNanos = OptionalLong.of(nowNanos);
+  public void onLeaderDutyFailed(long nowNanos) {
+    leaderDutyFailedNanos = OptionalLong.of(nowNanos);
   }
 
   private StagePlanner planner(String service) {
--- a/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/limits/LimitDigest.java
@@ -4,9 +4,9 @@
  * The state of a shared rate limit that nodes send to each other. Immutable.
  *
  * @param rate the sender's part of the rate
- * @param word what the sender knows of the limit that the engine announced
+ * @param announced what the sender knows of the limit that the engine announced
  */
-public record LimitDigest(RateDigest rate, AnnouncedLimitDigest word) {
+public record LimitDigest(RateDigest rate, AnnouncedLimitDigest announced) {
 
   /** The digest that carries no information. */
   public static final LimitDigest NONE =
@@ -18,7 +18,7 @@
    * use, which delays the start.
    */
   public boolean isNegligible() {
-    return rate.nodes() == 0 && !word.announced() && !word.ended();
+    return rate.nodes() == 0 && !announced.announced() && !announced.ended();
   }
 
   /**
@@ -29,7 +29,7 @@
     if (isNegligible() || other.isNegligible()) {
       return isNegligible() ? other : this;
     }
-    return new LimitDigest(rate.plus(other.rate), word.and(other.word));
+    return new LimitDigest(rate.plus(other.rate), announced.and(other.announced));
   }
 
   /**
@@ -38,6 +38,6 @@
    * @param millis time in ms to add
    */
   public LimitDigest aged(int millis) {
-    return isNegligible() ? NONE : new LimitDigest(rate, word.aged(millis));
+    return isNegligible() ? NONE : new LimitDigest(rate, announced.aged(millis));
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -21,43 +21,31 @@
 import org.fallturn.core.usage.UsageNews;
 
 /**
- * Exchanges what nodes know of engines over an overlay network of relays: it decides which messages
- * this node sends to which nodes, and processes those that it receives. A node reports to one
- * relay, which sends it the view of all other nodes. Relays send each other what they and the nodes
- * that report to them, their members, have at the engines. In a small fleet all nodes are relays.
+ * Exchanges what nodes know of engines over an overlay of relays: decides which messages this node
+ * sends to which nodes, and processes those that it receives. A node reports to one relay, which
+ * sends it the view of all other nodes. Relays send each other what they and their members, the
+ * nodes that report to them, have at the engines. In a small fleet all nodes are relays.
  *
  * <p>Invariants: the load of a node is passed on only by the relay that it reports to, so that no
- * sum counts it twice for longer than {@link PeerLoads} keeps a message. A report goes only to a
- * node that ranks before its sender, so that no sum returns to a node that it includes. The view
- * that a relay sends to a member leaves out what that member reported. Only the dispatch thread
- * calls.
+ * sum counts it twice for longer than {@link PeerLoads} keeps a message; a report goes only to a
+ * node that ranks before its sender, so that no sum returns to a node that it includes; a relay's
+ * view for a member leaves out what that member reported. Only the dispatch thread calls.
  */
 public final class RelayOverlay {
 
   /** The length of a round: how often changes are sent. */
   private static final long ROUND_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /**
-   * A node leaves its relay after this silence, so that three of the relay's messages may be lost.
-   */
+  /** Silence after which a node leaves its relay; three messages of the relay may be lost. */
   private static final long RELAY_SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(350);
 
-  /**
-   * A pause of this node longer than this restarts the wait for its relay, since the silence of
-   * others then means nothing.
-   */
+  /** A longer pause of this node restarts its wait for the relay: silence then means nothing. */
   private static final long OWN_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  /**
-   * How often a node without changes sends a message: a fifth of the time for which {@link
-   * PeerDirectory} counts a node as heard.
-   */
+  /** Pause without changes: a fifth of the time {@link PeerDirectory} counts a node as heard. */
   private static final long HEARTBEAT_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
-  /**
-   * The pause between messages with updates. A node that speaks only for itself sends updates at
-   * once; a relay gathers them for longer.
-   */
+  /** Pause between updates: a node that speaks only for itself sends at once, a relay gathers. */
   private static final long UPDATE_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private static final long GATHERED_UPDATES_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
@@ -70,16 +58,10 @@
 
   private static final long RELAY_LIST_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /**
-   * How often the list of askable nodes is refreshed. Only a node that has just started, and that
-   * the store does not answer, uses it.
-   */
+  /** Refresh period of {@link #askable}, used only by a new node that the store does not answer. */
   private static final long REFRESH_ASKABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /**
-   * Greetings reunite a fleet that was cut into parts, and let a node be found that all others
-   * forgot.
-   */
+  /** Greetings reunite a fleet that was cut into parts, and find a node that all others forgot. */
   private static final long GREETING_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(1_000);
 
   private static final long GREETING_PAUSE_ALONE_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
@@ -87,10 +69,7 @@
   /** The least time between two answers to a node that asks for all listings. */
   private static final long LISTINGS_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
-  /**
-   * The number of nodes that receive the usage counts of all others: a store may reject a third of
-   * the nodes at once.
-   */
+  /** Nodes that receive all usage counts: a store may reject a third of the nodes at once. */
   private static final int COLLECTORS = 3;
 
   private static final String COLLECT_PURPOSE = "collect";
@@ -136,15 +115,7 @@
   private volatile WatchOrder watchOrder;
   private volatile List<NetworkAddress> askable = List.of();
 
-  /**
-   * Creates the overlay of a node that knows only its seeds.
-   *
-   * @param self this node as the others know it
-   * @param node name of this node
-   * @param incarnation a number that rises with each start of the node's process
-   * @param seeds addresses of nodes to contact first
-   * @param loads receives the load of other nodes at the engines
-   */
+  /** Creates the overlay of a node that knows only its seeds, the nodes to contact first. */
   public RelayOverlay(
       PeerInfo self,
       String node,
@@ -206,10 +177,7 @@
     return relay.isPresent() && relay.get().address().equals(sender.address());
   }
 
-  /**
-   * Queues received updates. A relay passes on the updates of a member to the other relays and to
-   * its members, and the updates of another relay to its members only.
-   */
+  /** Queues updates: those of members for relays and members, those of relays for members only. */
   private void receiveUpdates(PeerMessage message, long nowNanos) {
     if (message.kind() == MessageKind.WELCOME) {
       return;
@@ -251,10 +219,7 @@
     wantsListings = wanted;
   }
 
-  /**
-   * Returns whether a node has asked for all cache listings. The caller answers with {@link
-   * #answerListings}.
-   */
+  /** Returns whether a node asked for all listings, to be answered by {@link #answerListings}. */
   public boolean hasListingRequests() {
     return !listingRequests.isEmpty();
   }
@@ -282,10 +247,7 @@
     return answers;
   }
 
-  /**
-   * Returns whether this node is the one that polls an engine for its cache listing, as far as this
-   * node knows: the relay that rendezvous hashing selects.
-   */
+  /** Returns whether rendezvous hashing of the known relays selects this one to poll an engine. */
   public boolean pollsEngine(String engineId, long nowNanos) {
     if (!relaying || !directory.anyHeard(nowNanos) && !seeds.isEmpty()) {
       return false;
@@ -329,18 +291,12 @@
     return tablesChanged || tablesChangedForMembers;
   }
 
-  /**
-   * Returns whether other nodes send this node their usage counts, so that it may report usage for
-   * all.
-   */
+  /** Returns whether others send this node their usage counts, so that it may report for all. */
   public boolean collects() {
     return collectors.contains(self);
   }
 
-  /**
-   * Sets the ranking and the collectors, which are a few of the relays. Nodes that know the same
-   * nodes choose the same collectors.
-   */
+  /** Sets the ranking and the collectors: a few relays, the same if nodes know the same nodes. */
   private void setRanking(RelayRanking newRanking) {
     ranking = newRanking;
     collectors = newRanking.relaysFor(COLLECT_PURPOSE).stream().limit(COLLECTORS).toList();
@@ -393,11 +349,7 @@
     return Math.max(1, count.highest());
   }
 
-  /**
-   * The messages to send now. Called at each tick, and when there is an urgent change.
-   *
-   * @param own supplies what this node itself can report
-   */
+  /** The messages to send now; called at each tick and at an urgent change. */
   public List<OutgoingPeerMessage> due(Supplier<OwnLoad> own, long nowNanos) {
     tablesChanged |= tables.takeUnsent();
     tablesChangedForMembers |= tablesChanged;
@@ -453,9 +405,8 @@
   }
 
   /**
-   * Returns whether this node is a relay now. A node that was none waits until it has ranked as one
-   * for a while, since it may merely have stopped hearing others. It does not wait if there is no
-   * other relay.
+   * Returns whether this node is a relay now. If there is another relay, it first ranks as one for
+   * a while, since it may merely have stopped hearing others.
    */
   private boolean mayRelay(long nowNanos) {
     if (!ranking.isRelay()) {
@@ -508,25 +459,15 @@
     pendingWelcomes.clear();
   }
 
-  /**
-   * Creates a message that lists the relays, but contains no load, since its target may not rank
-   * before this node.
-   */
+  /** Creates a message with the relays but no load: its target may not rank before this node. */
   private OutgoingPeerMessage greeting(MessageKind kind, NetworkAddress peer, long nowNanos) {
-    LoadDigest countOnly =
+    LoadDigest load =
         new LoadDigest(
             node, incarnation, ++sequence, count.highest(), node, Map.of(), List.of(), Map.of());
     return new OutgoingPeerMessage(
         peer,
         new PeerMessage(
-            kind,
-            self,
-            countOnly,
-            List.of(),
-            List.of(),
-            candidates(nowNanos),
-            tables.all(),
-            false));
+            kind, self, load, List.of(), List.of(), candidates(nowNanos), tables.all(), false));
   }
 
   private void addLoadMessages(
@@ -555,10 +496,7 @@
     return directory.withAges(ranking.candidates(), nowNanos);
   }
 
-  /**
-   * Adds the report to this node's relay or, if this node is a relay, the messages to the other
-   * relays.
-   */
+  /** Adds the report to this node's relay or, from a relay, the messages to the other relays. */
   private void addUpwardMessages(
       OwnLoad own, List<KnownPeer> relays, List<OutgoingPeerMessage> messages, long nowNanos) {
     lastUpwardNanos = nowNanos;
@@ -581,20 +519,16 @@
       return;
     }
     if (!directory.anyHeard(nowNanos)) {
-      // If a node that hears no other sent its group, others would take it for a relay and report
-      // to it in vain.
+      // Others would take a node that hears none for a relay, and report to it in vain.
       return;
     }
-    PeerMessage toOthers =
+    PeerMessage message =
         new PeerMessage(
             MessageKind.GROUP, self, group, listings, own.crashes(), relays, versions, false);
-    Optional<NetworkAddress> listingSource =
-        wantsListings ? firstHeard(nowNanos) : Optional.empty();
+    Optional<NetworkAddress> source = wantsListings ? firstHeard(nowNanos) : Optional.empty();
     for (NetworkAddress target : relayTargets(nowNanos)) {
-      boolean askForListings = listingSource.filter(target::equals).isPresent();
-      messages.add(
-          new OutgoingPeerMessage(
-              target, askForListings ? toOthers.askingForListings() : toOthers));
+      boolean asked = source.filter(target::equals).isPresent();
+      messages.add(new OutgoingPeerMessage(target, asked ? message.askingForListings() : message));
     }
   }
 
@@ -604,9 +538,7 @@
         .findFirst();
   }
 
-  /**
-   * The known relays, and every node that considers itself a relay and sends this node its group.
-   */
+  /** The known relays, and all that consider themselves relays and send this node their group. */
   private Set<NetworkAddress> relayTargets(long nowNanos) {
     Set<NetworkAddress> targets = new LinkedHashSet<>();
     ranking.relays().stream()
--- a/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/waiting/SaturationLimits.java
@@ -53,7 +53,7 @@
    * Returns the maximum number of requests that the engine should be given; infinite for one that
    * has not rejected any.
    */
-  public double most(String engineId, long nowNanos) {
+  public double maxRequests(String engineId, long nowNanos) {
     Limit limit = limits.get(engineId);
     return limit == null ? Double.POSITIVE_INFINITY : limit.at(nowNanos);
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineLimitsTest.java
@@ -173,7 +173,7 @@
             new LimitChange(limited.id(), OptionalDouble.of(LIMIT), NoticeSource.PEER));
     LimitDigest own = dispatcher.fleet().ownLoads(after(150)).get(limited.id()).limit();
     assertThat(own.rate().nodes()).isEqualTo(1);
-    assertThat(own.word())
+    assertThat(own.announced())
         .isEqualTo(new AnnouncedLimitDigest(LIMIT, 70, AnnouncedLimitDigest.NEVER));
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/StageControlTest.java
@@ -92,9 +92,9 @@
   }
 
   @Test
-  void nodeWithoutTheLeaseLeavesOrdersToAnotherNodeForSomeTime() {
+  void nodeThatFailsInTheLeaderDutyLeavesOrdersToAnotherNodeForSomeTime() {
     assertThat(wantedWhileOtherReports("", 4)).isPresent();
-    dispatcher.stages().onLeaseDenied(now());
+    dispatcher.stages().onLeaderDutyFailed(now());
     assertThat(dispatcher.stages().mayOrder(now())).isFalse();
     assertThat(wantedWhileOtherReports("", 15)).isEmpty();
     assertThat(wantedWhileOtherReports("", 10)).isPresent();
--- a/fallturn-node/src/main/java/org/fallturn/node/command/ExplainCommand.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/ExplainCommand.java
@@ -9,7 +9,7 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import org.fallturn.node.gateway.RequestTimeline;
 
-/** {@code fallturn explain}: the story of one request from the logs of several gateways. */
+/** {@code fallturn explain}: the timeline of one request from the logs of several gateways. */
 public final class ExplainCommand implements Command {
 
   private static final String FILES = "files";
@@ -43,12 +43,12 @@
     String request = arguments.getString(REQUEST);
     List<Path> files = new ArrayList<>();
     arguments.<String>getList(FILES).forEach(file -> files.add(Path.of(file)));
-    List<String> story = RequestTimeline.of(files, request);
-    if (story.isEmpty()) {
+    List<String> timeline = RequestTimeline.of(files, request);
+    if (timeline.isEmpty()) {
       out.println("no line of these logs names request " + request);
       return FAILED;
     }
-    story.forEach(out::println);
+    timeline.forEach(out::println);
     return OK;
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DispatchDuty.java
@@ -139,7 +139,7 @@
     } else if (event instanceof DispatchEvent.StageChangeAbandoned abandoned) {
       dispatcher.stages().abandon(abandoned.change());
     } else if (event instanceof DispatchEvent.CannotLead) {
-      dispatcher.stages().onLeaseDenied(now);
+      dispatcher.stages().onLeaderDutyFailed(now);
       peers.sendNow(now);
     } else if (event instanceof DispatchEvent.StageOrderUnanswered unanswered) {
       dispatcher.stages().onUnanswered(unanswered.change(), now);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
@@ -242,7 +242,7 @@
 
   private static String text(LimitDigest limit) {
     RateDigest rate = limit.rate();
-    AnnouncedLimitDigest announced = limit.word();
+    AnnouncedLimitDigest announced = limit.announced();
     StringJoiner text = new StringJoiner(",");
     for (int number : new int[] {rate.nodes(), rate.weight(), rate.held(), rate.sent()}) {
       text.add(Integer.toString(number));
