--- a/fallturn-node/src/main/java/org/fallturn/node/application/BackEndSelector.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/application/BackEndSelector.java
@@ -20,9 +20,9 @@
 
 /**
  * Load balancer that selects the back end for each request. Candidates are live in the machine list
- * and not drained by an operator. Among them it prefers, in this order, back ends that have not
- * refused a connection in the last two seconds, those of this node's own zone, and those with the
- * fewest requests in flight from this node. Ties are broken round-robin. Thread-safe.
+ * and not drained by an operator. Among them it prefers, in this order, back ends that were not
+ * passed to {@link #avoid} in the last two seconds, those of this node's own zone, and those with
+ * the fewest requests in flight from this node. Ties are broken round-robin. Thread-safe.
  */
 public final class BackEndSelector {
 
--- a/fallturn-node/src/main/java/org/fallturn/node/command/Command.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/Command.java
@@ -12,7 +12,7 @@
   /** Exit code of a run that failed. */
   int FAILED = 1;
 
-  /** Exit code for wrong arguments. */
+  /** Exit code for wrong arguments or settings. */
   int USAGE = 2;
 
   /** Returns the name that selects the command on the command line. */
--- a/fallturn-node/src/main/java/org/fallturn/node/command/ExplainCommand.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/ExplainCommand.java
@@ -29,7 +29,7 @@
 
   @Override
   public String help() {
-    return "print the timeline of one request from the logs of gateways";
+    return "tell the story of one request from the logs of gateways";
   }
 
   @Override
--- a/fallturn-node/src/main/java/org/fallturn/node/command/NodeCommand.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/NodeCommand.java
@@ -14,7 +14,7 @@
 /**
  * {@code fallturn node}: runs one node until SIGTERM or SIGINT, which begin a planned stop. Once
  * all ports are bound, prints a line {@code listening PORT ADDRESS} for each of them, where PORT is
- * its name, and then {@code started NODE}.
+ * the name of the port, and then {@code started NODE}.
  */
 public final class NodeCommand implements Command {
 
--- a/fallturn-node/src/main/java/org/fallturn/node/command/SettingsArguments.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/command/SettingsArguments.java
@@ -23,7 +23,7 @@
 
   static void declare(Subparser parser) {
     parser.addArgument("--" + FILE).metavar("FILE").help("settings file (TOML)");
-    ArgumentGroup group = parser.addArgumentGroup("settings (a flag overrides the file)");
+    ArgumentGroup group = parser.addArgumentGroup("settings (a flag wins over the file)");
     for (SettingDefinition<?> definition : NodeSettings.definitions()) {
       group
           .addArgument("--" + definition.key())
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/DutyHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/DutyHandler.java
@@ -26,14 +26,18 @@
   }
 
   /**
-   * Called once when the duty ends. The duty's state may be inconsistent after a fault, so the
-   * handler must give up everything that it holds.
+   * Called once when the duty ends after a fault or by {@link DutyThread#end}, but not by {@link
+   * DutyThread#close}. The duty's state may be inconsistent after a fault, so the handler must give
+   * up everything that it holds.
    */
   default void onEnd() throws Exception {
     // Most duties hold nothing that anybody waits for.
   }
 
-  /** Called for each event that arrives after the duty ended, and for the one it failed on. */
+  /**
+   * Called for each event that the duty's thread takes from the ring after the duty ended, and for
+   * an event whose fault ended the duty.
+   */
   default void onUnhandledEvent(E event) throws Exception {
     // Most events need no answer.
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultPolicy.java
@@ -16,7 +16,8 @@
  *       is the only holder of its state.
  *   <li>An {@link Error} concerns the process. A single one ends a duty that is the only holder of
  *       its state, several in one series end any duty.
- *   <li>An {@link OutOfMemoryError} ends any duty, since nothing is sure to work after it.
+ *   <li>An {@link OutOfMemoryError}, also as the cause of another fault, ends any duty, since
+ *       nothing is sure to work after it.
  * </ul>
  *
  * <p>Ending the process helps against Errors: the new process loads its classes again and starts
@@ -36,8 +37,8 @@
   static final long MAX_PAUSE_NANOS = TimeUnit.SECONDS.toNanos(3);
 
   /**
-   * How long all ticks may fail before the duty ends. This is about how long a caller waits before
-   * it tries another node.
+   * How long all ticks may fail before a duty ends that is the only holder of its state. This is
+   * about how long a caller waits before it tries another node.
    */
   static final long MAX_TICK_FAILURE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/DecisionLog.java
@@ -108,17 +108,17 @@
   }
 
   /** Logs an error with its own message and the stack trace, for those who read errors only. */
-  void dutyFailed(String duty, Throwable fault, FaultDecision answer) {
+  void dutyFailed(String duty, Throwable fault, FaultDecision decision) {
     metrics.count(LogEvent.DUTY_FAILED, duty);
     LOG.atError()
         .setMessage(
-            answer.goesOn()
+            decision.goesOn()
                 ? "duties: A duty failed and goes on."
                 : "duties: A duty failed and ends the node.")
         .addKeyValue("event", LogEvent.DUTY_FAILED)
         .addKeyValue("duty", duty)
-        .addKeyValue("goesOn", answer.goesOn())
-        .addKeyValue("pauseMs", TimeUnit.NANOSECONDS.toMillis(answer.pauseNanos()))
+        .addKeyValue("goesOn", decision.goesOn())
+        .addKeyValue("pauseMs", TimeUnit.NANOSECONDS.toMillis(decision.pauseNanos()))
         .setCause(fault)
         .log();
   }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/FatalFaultHandler.java
@@ -40,15 +40,15 @@
   }
 
   @Override
-  public void onFault(String duty, Throwable fault, FaultDecision answer) {
+  public void onFault(String duty, Throwable fault, FaultDecision decision) {
     try {
-      if (!answer.goesOn()) {
+      if (!decision.goesOn()) {
         state.beginStop();
         state.refuseRequests();
       }
-      log.dutyFailed(duty, fault, answer);
+      log.dutyFailed(duty, fault, decision);
     } finally {
-      if (!answer.goesOn() && shutdownBegun.compareAndSet(false, true)) {
+      if (!decision.goesOn() && shutdownBegun.compareAndSet(false, true)) {
         beginShutdown();
       }
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/metrics/LogSetup.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/metrics/LogSetup.java
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Writes the lines that are left in the queue, within a time limit, and stops logging. For a
-   * process that is about to end.
+   * Writes the lines that are left in the queue, within a time limit, and discards all later lines.
+   * Does nothing if lines are not queued. For a process that is about to end.
    */
   public static void finish() {
     LogQueue queue = QUEUE.getAndSet(null);
--- a/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadFaultTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/duty/DutyThreadFaultTest.java
@@ -59,7 +59,8 @@
 
   private DutyThread<String> start(DutyState state) {
     return new DutyThread<>("test", RING_SIZE, Duration.ofMillis(1), new ScriptedHandler())
-        .start(state, (duty, fault, answer) -> faults.add(duty + " " + fault.getClass().getName()));
+        .start(
+            state, (duty, fault, decision) -> faults.add(duty + " " + fault.getClass().getName()));
   }
 
   private static void publish(DutyThread<String> duty, String event) {
--- a/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
+++ b/fallturn-node/src/test/java/org/fallturn/node/gateway/DutyFaultsTest.java
@@ -75,7 +75,7 @@
 
   private final AtomicInteger calls = new AtomicInteger();
   private final List<String> faults = new CopyOnWriteArrayList<>();
-  private final FaultListener listener = (duty, fault, answer) -> faults.add(duty);
+  private final FaultListener listener = (duty, fault, decision) -> faults.add(duty);
   private final DecisionLog log = new DecisionLog(new GatewayMetrics());
 
   /** Throws an error at the first call only. */
