--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -18,7 +18,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.following.WatchOrder;
 import org.fallturn.core.membership.RendezvousHash;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * Exchanges what nodes know of engines over an overlay of relays: decides which messages this node
@@ -303,7 +303,7 @@
   }
 
   /** The messages that send this node's usage counts to the collectors. */
-  public List<OutgoingPeerMessage> usageMessages(UsageNews news) {
+  public List<OutgoingPeerMessage> usageMessages(UsageCounts news) {
     LoadDigest emptyLoad =
         new LoadDigest(node, incarnation, ++sequence, 1, "", Map.of(), List.of(), Map.of());
     PeerMessage message =
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
@@ -10,7 +10,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.following.FollowBounds;
 import org.fallturn.core.following.FollowPlan;
-import org.fallturn.core.following.FollowSight;
+import org.fallturn.core.following.FollowState;
 import org.fallturn.core.following.FollowStep;
 import org.fallturn.core.peers.SimulatedFleet.Node;
 
@@ -96,7 +96,7 @@
     boolean killed;
     long position;
     private FollowStep step;
-    private FollowSight sight;
+    private FollowState sight;
     private long stepStartNanos;
     private long idleUntilNanos;
     private long answeredNanos = -1;
@@ -115,8 +115,8 @@
       fleet.kill(node);
     }
 
-    private FollowSight currentSight(long now) {
-      return new FollowSight(
+    private FollowState currentSight(long now) {
+      return new FollowState(
           position > 0,
           position == 0,
           position,
@@ -189,13 +189,13 @@
       answeredNanos = now;
       node.overlay.tables().onConfirmed(TABLE, fleet.millis());
       plan.onAnswered();
-      plan.onLooked(sight.newest(), position, now);
+      plan.onChangeChecked(sight.newest(), position, now);
       return true;
     }
 
     private boolean waitForSilentStore(long now) {
       long held = now - stepStartNanos;
-      FollowSight seen = currentSight(now);
+      FollowState seen = currentSight(now);
       if (held >= step.nanos() + TimeUnit.MILLISECONDS.toNanos(CALL_TIMEOUT_MILLIS)) {
         plan.onFailed(seen, now);
         return true;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerMessenger.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerMessenger.java
@@ -10,7 +10,7 @@
 import org.fallturn.core.peers.OwnLoad;
 import org.fallturn.core.peers.PeerMessage;
 import org.fallturn.core.peers.RelayOverlay;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * Exchanges messages with other nodes for the dispatch duty: hands the content of a received
@@ -92,7 +92,7 @@
   }
 
   /** Sends this node's usage counts to the nodes that collect them. */
-  void sendUsage(UsageNews news) {
+  void sendUsage(UsageCounts news) {
     sender.accept(overlay.usageMessages(news));
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -7,7 +7,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.following.FollowBounds;
 import org.fallturn.core.following.FollowPlan;
-import org.fallturn.core.following.FollowSight;
+import org.fallturn.core.following.FollowState;
 import org.fallturn.core.following.FollowStep;
 import org.fallturn.core.following.WatchOrder;
 import org.fallturn.core.port.feed.FeedAnswer;
@@ -190,7 +190,7 @@
     if (deliveryPending) {
       deliver();
     }
-    FollowSight sight = sight();
+    FollowState sight = sight();
     FollowStep step = plan.next(sight, System.nanoTime());
     onSource(step);
     switch (step.kind()) {
@@ -201,13 +201,13 @@
     }
   }
 
-  private FollowSight sight() {
+  private FollowState sight() {
     long now = System.nanoTime();
     WatchOrder order = peerReports.order();
     tracker.setToldByOthers(!order.alone());
     long newest = peerReports.newestChange();
-    FollowSight sight =
-        new FollowSight(
+    FollowState sight =
+        new FollowState(
             tracker.known(),
             tracker.shouldReadWhole(now),
             tracker.position(),
@@ -240,12 +240,12 @@
    * Waits for a newer change than this step has seen: a signal for a change that was known before
    * must not wake the thread.
    */
-  private void listen(FollowStep step, FollowSight sight) throws InterruptedException {
+  private void listen(FollowStep step, FollowState sight) throws InterruptedException {
     long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(step.nanos()));
     times.pause().await(millis, () -> peerReports.newestChange() > sight.newest());
   }
 
-  private void ask(FollowStep step, FollowSight sight) throws InterruptedException {
+  private void ask(FollowStep step, FollowState sight) throws InterruptedException {
     times.pause().await(TimeUnit.NANOSECONDS.toMillis(step.nanos()), () -> false);
     long before = tracker.position();
     try {
@@ -274,7 +274,7 @@
     }
   }
 
-  private void watch(FollowStep step, FollowSight sight)
+  private void watch(FollowStep step, FollowState sight)
       throws StoreException, InterruptedException {
     long begun = System.nanoTime();
     boolean[] ended = new boolean[1];
@@ -369,12 +369,12 @@
    * @param heldNanos how long the watch has run
    */
   private boolean isTrusted(long heldNanos) {
-    FollowSight sight = sight();
+    FollowState sight = sight();
     return !isBehind(sight) && plan.trusts(sight, heldNanos);
   }
 
   /** Whether others saw a change longer ago than allowed that the watch has not returned. */
-  private boolean isBehind(FollowSight sight) {
+  private boolean isBehind(FollowState sight) {
     if (!plan.isBehind(sight, System.nanoTime())) {
       behind = false;
       return false;
@@ -386,7 +386,7 @@
     return System.nanoTime() - behindSinceNanos >= MAX_BEHIND_NANOS;
   }
 
-  private void readWhole(FollowSight sight) throws StoreException, InterruptedException {
+  private void readWhole(FollowState sight) throws StoreException, InterruptedException {
     counts.count(FollowCounts.Kind.STORE_WHOLE);
     FeedAnswer answer = feed.snapshot();
     boolean stale = answer.version() < tracker.position();
@@ -406,13 +406,13 @@
    * The store answered. The listener gets the rows first, and through it other nodes learn of the
    * changes: a confirmation states that there are no more.
    */
-  private void onStoreAnswered(FeedAnswer answer, FollowSight before) {
+  private void onStoreAnswered(FeedAnswer answer, FollowState before) {
     behind = false;
     confirmedNanos = System.nanoTime();
     confirmed = true;
     plan.onAnswered();
     if (before.newest() > before.position()) {
-      plan.onLooked(before.newest(), tracker.position(), confirmedNanos);
+      plan.onChangeChecked(before.newest(), tracker.position(), confirmedNanos);
     }
     if (answer.storeMillis() > 0) {
       peerReports.onConfirmed(answer.storeMillis());
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
@@ -1,7 +1,7 @@
 package org.fallturn.node.gateway;
 
 import org.fallturn.core.dispatch.AttemptOutcome;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * Observer that counts requests which start to run, each once, for usage reports. Called on the
@@ -22,7 +22,7 @@
         public void onEnded(Exchange exchange, long nowNanos) {}
 
         @Override
-        public void onPeerReport(UsageNews news) {}
+        public void onPeerReport(UsageCounts news) {}
 
         @Override
         public void onReported(long window) {}
@@ -41,7 +41,7 @@
   void onEnded(Exchange exchange, long nowNanos);
 
   /** Another process sent its counts. */
-  void onPeerReport(UsageNews news);
+  void onPeerReport(UsageCounts news);
 
   /** The platform accepted the report of a window, sent by this node or another. */
   void onReported(long window);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
@@ -2,7 +2,7 @@
 
 import org.fallturn.core.dispatch.Dispatcher;
 import org.fallturn.core.peers.RelayOverlay;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * The view of the fleet that {@link UsageTally} needs, taken from the relay overlay and the
@@ -29,7 +29,7 @@
   }
 
   @Override
-  public void publish(UsageNews news) {
+  public void publish(UsageCounts news) {
     messenger.sendUsage(news);
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
@@ -8,8 +8,8 @@
 import org.fallturn.core.clock.WallClock;
 import org.fallturn.core.dispatch.AttemptOutcome;
 import org.fallturn.core.dispatch.RequestProgress;
+import org.fallturn.core.usage.UsageCounts;
 import org.fallturn.core.usage.UsageLedger;
-import org.fallturn.core.usage.UsageNews;
 import org.fallturn.core.usage.UsageReport;
 import org.fallturn.core.usage.UsageSchedule;
 import org.fallturn.core.usage.UsageWindows;
@@ -66,7 +66,7 @@
     boolean leads(long nowNanos);
 
     /** Sends the counts of this process to the nodes that collect. */
-    void publish(UsageNews news);
+    void publish(UsageCounts news);
   }
 
   /**
@@ -140,7 +140,7 @@
   }
 
   @Override
-  public void onPeerReport(UsageNews news) {
+  public void onPeerReport(UsageCounts news) {
     ledger.onPeerReport(news, clock.unixMillis());
   }
 
@@ -187,7 +187,7 @@
       }
     }
     if (!sums.isEmpty()) {
-      fleet.publish(new UsageNews(fleet.node(), fleet.incarnation(), sums));
+      fleet.publish(new UsageCounts(fleet.node(), fleet.incarnation(), sums));
     }
   }
 }
