--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
@@ -204,7 +204,7 @@
    * @param told the newest change that had been told before the call
    * @param position the position reached by the answer, which may lag after history was lost
    */
-  public void onLooked(long told, long position, long nowNanos) {
+  public void onChangeChecked(long told, long position, long nowNanos) {
     if (told > position) {
       refuted = told;
       refutedAtNanos = nowNanos;
--- a/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
@@ -113,7 +113,7 @@
     plan.onAsked(false);
     assertThat(next(order(MEMBER), 99, NEVER, 0).kind()).isEqualTo(Kind.WATCH);
     plan.onAnswered();
-    plan.onLooked(99, 14, NOW);
+    plan.onChangeChecked(99, 14, NOW);
     assertThat(next(order(MEMBER), 99, 0, 0).kind()).isEqualTo(Kind.LISTEN);
     assertThat(next(order(MEMBER), 100, 0, 0).kind()).isEqualTo(Kind.ASK);
     FollowState told = sight(order(MEMBER), 99, 0, 0);
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
@@ -182,7 +182,7 @@
       answeredNanos = now;
       node.overlay.tables().onConfirmed(TABLE, fleet.millis());
       plan.onAnswered();
-      plan.onLooked(sight.newest(), position, now);
+      plan.onChangeChecked(sight.newest(), position, now);
       return true;
     }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -368,7 +368,7 @@
     confirmed = true;
     plan.onAnswered();
     if (before.newest() > before.position()) {
-      plan.onLooked(before.newest(), tracker.position(), confirmedNanos);
+      plan.onChangeChecked(before.newest(), tracker.position(), confirmedNanos);
     }
     if (answer.storeMillis() > 0) {
       others.onConfirmed(answer.storeMillis());
