--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/EngineSelector.java
@@ -26,25 +26,30 @@
 import org.fallturn.core.waiting.WaterFilling;
 
 /**
- * Knows the engines of each service, and picks among them by cost: load as this node and its peers
- * count it, health as shown by the outcomes of attempts, distance, and for prompts the tokens that
- * would have to be read. Only the dispatch thread calls.
+ * Holds the engines of each service and selects among them by cost. The cost combines the load that
+ * this node and its peers count, the health shown by the outcomes of attempts, the distance, and
+ * for prompts the number of tokens that are not cached. Confined to the dispatch thread.
+ *
+ * <p>A <i>rest</i> is a period for which an engine has asked this node to send it no requests.
  */
 final class EngineSelector {
 
   /** Cost of an engine in another zone, in units of relative load (requests per capacity). */
-  private static final double OTHER_ZONE_RUN_COST = 0.03;
+  private static final double OTHER_ZONE_COST = 0.03;
 
-  /** Cost of an engine that fails every answer, in units of relative load. */
-  private static final double FAILURE_RUN_COST = 1.0;
+  /** Cost of an engine at which every attempt fails, in units of relative load. */
+  private static final double FAILURE_COST = 1.0;
 
   /**
-   * Mean age of the latest load report of another node, not counting its delay on the way: half of
-   * the interval of 100 ms, as nodes report their load to each other ten times a second.
+   * Mean age of the latest load report of another node, excluding its transmission delay. Nodes
+   * report their load to each other ten times a second, so it is half of the interval of 100 ms.
    */
   private static final double MEAN_REPORT_AGE_MILLIS = 50;
 
-  /** Shorter shared parts are read again in less time than a copy takes. */
+  /**
+   * Minimum number of shared prompt tokens for a copy: an engine reads a shorter shared part again
+   * in less time than copying its KV cache takes.
+   */
   static final int MIN_COPIED_TOKENS = 1_000;
 
   private final String zone;
@@ -80,8 +85,8 @@
   }
 
   /**
-   * Applies a new list of engines; the load of an engine that is gone is kept until its requests
-   * have ended.
+   * Applies a new list of engines. The load of an engine that is no longer listed is kept until its
+   * requests have ended.
    */
   void setDirectory(EngineDirectory newDirectory, long nowNanos) {
     departures.onChange(directory, newDirectory, nowNanos);
@@ -97,10 +102,15 @@
     loads.entrySet().removeIf(e -> !present.contains(e.getKey()) && e.getValue().idle());
   }
 
-  /** Failures of an engine in its former stage say nothing about the new stage. */
+  /**
+   * Resets the health, since failures in the former stage do not predict failures in the new one.
+   */
   private void resetHealthIfStageChanged(ServingEngine engine) {
     boolean changed =
-        directory.find(engine.id()).filter(b -> b.stage() != engine.stage()).isPresent();
+        directory
+            .find(engine.id())
+            .filter(previous -> previous.stage() != engine.stage())
+            .isPresent();
     if (changed) {
       load(engine).health().reset();
     }
@@ -117,39 +127,39 @@
   }
 
   /**
-   * How long it takes until this node learns what another node has sent to the engines, in ms; 0
-   * where nodes report to each other directly.
+   * Delay in ms until this node learns which requests another node has sent to the engines; 0 where
+   * nodes report to each other directly.
    */
   double lagMillis(long nowNanos) {
     return peerLoads.lagMillis(nowNanos);
   }
 
   /**
-   * Mean age of what this node knows of the other nodes' load, in ms; also the mean time until it
-   * learns of a change there.
+   * Mean age in ms of this node's data about the load of the other nodes; also the mean time until
+   * it learns of a change of that load.
    */
   double refreshMillis(long nowNanos) {
     return MEAN_REPORT_AGE_MILLIS + lagMillis(nowNanos);
   }
 
-  /** Factor by which work takes longer at an engine than usual for its service. */
+  /** Ratio of the time that work takes at an engine to the time usual for its service. */
   double slowness(ServingEngine engine, WorkKind kind, long nowNanos) {
     return pace.slowness(engine.id(), kind, nowNanos);
   }
 
-  /** Number of requests that all nodes have at an engine. */
+  /** Number of requests at an engine, over all nodes. */
   int running(ServingEngine engine, long nowNanos) {
     return load(engine).running() + peerLoads.running(engine.id(), nowNanos);
   }
 
-  /** Number of long answers that have begun at an engine, for all nodes. */
+  /** Number of long answers that have begun at an engine, over all nodes. */
   int streams(ServingEngine engine, long nowNanos) {
     return load(engine).streams() + peerLoads.streams(engine.id(), nowNanos);
   }
 
   /**
-   * The stage that an engine is changing to, by order of this node or another; NONE when it is not
-   * changing.
+   * The stage to which this node or another has ordered an engine to change; {@code NONE} when it
+   * is not changing.
    */
   EngineStage changingTo(ServingEngine engine, long nowNanos) {
     EngineStage own = changing.stageOf(engine.id());
@@ -163,14 +173,14 @@
    * Marks an engine as changing its stage by order of this node.
    *
    * @param stage the stage that it is changing to
-   * @param untilNanos when the mark lapses
+   * @param untilNanos time at which the mark expires
    */
   void beginChange(ServingEngine engine, EngineStage stage, long untilNanos) {
     load(engine);
     changing.begin(engine.id(), stage, untilNanos);
   }
 
-  /** Removes the mark, because the order was not given or was refused. */
+  /** Removes the mark when the order to change the stage was not sent or was refused. */
   void endChange(ServingEngine engine) {
     changing.end(engine.id());
   }
@@ -184,12 +194,12 @@
     return changing.stageOf(engineId) != EngineStage.NONE;
   }
 
-  /** Returns a listed engine. */
+  /** Returns the engine with an id; empty if it is not listed. */
   Optional<ServingEngine> find(String engineId) {
     return directory.find(engineId);
   }
 
-  /** Ids of the engines that are listed, or were until a short while ago. */
+  /** Ids of the engines that are listed or were listed recently. */
   Set<String> knownIds() {
     Set<String> ids = new HashSet<>(departures.ids());
     directory.all().forEach(engine -> ids.add(engine.id()));
@@ -214,8 +224,8 @@
   }
 
   /**
-   * Notes that a request of the service is about to be placed, which any of its engines with room
-   * may get.
+   * Records for each engine of the service that a request is about to be placed, since any of them
+   * with free capacity may be chosen.
    */
   void onPlacing(String service, long nowNanos) {
     for (ServingEngine engine : directory.ofService(service)) {
@@ -223,32 +233,33 @@
     }
   }
 
-  /** Engines that may read the prompt in a separate prefill step. */
+  /** Engines that can read the prompt in a separate prefill step. */
   List<ServingEngine> prefillCandidates(RequestProgress progress, long nowNanos) {
-    return candidates(progress, EngineSelector::prefills, nowNanos);
+    return candidates(progress, EngineSelector::isPrefillEngine, nowNanos);
   }
 
   /** Engines that may run the request. */
   List<ServingEngine> runCandidates(RequestProgress progress, long nowNanos) {
-    List<ServingEngine> fit = candidates(progress, engine -> !prefills(engine), nowNanos);
-    return progress.isolated() ? leastRunning(fit, nowNanos) : fit;
+    List<ServingEngine> eligible =
+        candidates(progress, engine -> !isPrefillEngine(engine), nowNanos);
+    return progress.isolated() ? withFewestRunning(eligible, nowNanos) : eligible;
   }
 
-  private List<ServingEngine> leastRunning(List<ServingEngine> engines, long nowNanos) {
-    int least = engines.stream().mapToInt(engine -> running(engine, nowNanos)).min().orElse(0);
-    return engines.stream().filter(engine -> running(engine, nowNanos) == least).toList();
+  private List<ServingEngine> withFewestRunning(List<ServingEngine> engines, long nowNanos) {
+    int fewest = engines.stream().mapToInt(engine -> running(engine, nowNanos)).min().orElse(0);
+    return engines.stream().filter(engine -> running(engine, nowNanos) == fewest).toList();
   }
 
   /**
-   * Estimated tokens of KV cache that the requests at an engine occupy while they run: the known
-   * figure for those of this node, and this node's average for each request of another.
+   * Estimated tokens of KV cache that the requests at an engine occupy while they run. Requests of
+   * this node count with their own figure, requests of other nodes with the mean at this node.
    */
   double cacheTokens(ServingEngine engine, long nowNanos) {
     return load(engine).cacheTokens()
         + peerLoads.running(engine.id(), nowNanos) * sizes(engine.service()).meanCacheTokens();
   }
 
-  /** Prompt tokens that wait to be read at the engine, as far as this node knows. */
+  /** Prompt tokens that wait to be read at the engine, as far as this node knows; all levels. */
   long backlogTokens(ServingEngine engine, long nowNanos) {
     return backlogTokens(engine, Urgency.LEVELS - 1, nowNanos);
   }
@@ -264,16 +275,17 @@
   }
 
   /**
-   * Tokens that an engine is expected to read before a request of the given level: those of more
-   * urgent levels and of the same level, and the rest of a less urgent prompt that it has begun,
-   * which it does not interrupt.
+   * Tokens that an engine is expected to read before a request of the given level: those of the
+   * same and of more urgent levels, and the remainder of a less urgent prompt that it has begun to
+   * read, since engines do not interrupt a prompt.
    *
    * @param level an {@link Urgency} level
    */
   long aheadTokens(ServingEngine engine, int level, long nowNanos) {
-    long before = backlogTokens(engine, level, nowNanos);
-    long lessUrgent = backlogTokens(engine, nowNanos) - before;
-    return before + (long) Math.min(lessUrgent, sizes(engine.service()).meanResidualTokens());
+    long atLeastAsUrgent = backlogTokens(engine, level, nowNanos);
+    long lessUrgent = backlogTokens(engine, nowNanos) - atLeastAsUrgent;
+    return atLeastAsUrgent
+        + (long) Math.min(lessUrgent, sizes(engine.service()).meanResidualTokens());
   }
 
   /** Statistics of the prompt lengths of a service. */
@@ -281,46 +293,44 @@
     return sizes.computeIfAbsent(service, name -> new PromptSizes());
   }
 
-  /**
-   * Tokens of the prompt that the engine would have to read because it does not have them cached.
-   */
+  /** Tokens of the prompt that the engine would have to read because they are not cached there. */
   int uncachedTokens(ServingEngine engine, PromptShape prompt) {
     int cached = cachedParts.cachedTokens(engine.id(), prompt.parts());
     return Math.max(0, prompt.promptTokens() - cached);
   }
 
-  /** Engines that have part of the prompt cached now and from which it can be copied. */
+  /** Engines that now have the beginning of the prompt cached and can serve as source of a copy. */
   PrefixHolders holders(RequestProgress progress, PromptShape prompt, long nowNanos) {
     if (progress.source().isPresent() || prompt.sharedTokens() < MIN_COPIED_TOKENS) {
       return PrefixHolders.none();
     }
     List<PrefixHolders.Holder> holders = new ArrayList<>();
-    int soonTokens = 0;
+    int maxExpectedTokens = 0;
     for (ServingEngine engine : directory.ofService(progress.service())) {
       if (!engine.leaving()) {
-        int cachedSoon = cachedParts.cachedTokens(engine.id(), prompt.sharedParts());
-        soonTokens = Math.max(soonTokens, cachedSoon);
+        int expectedTokens = cachedParts.cachedTokens(engine.id(), prompt.sharedParts());
+        maxExpectedTokens = Math.max(maxExpectedTokens, expectedTokens);
       }
       int tokens = cachedParts.readyTokens(engine.id(), prompt.parts(), nowNanos);
-      if (tokens > 0 && canBeCopiedFrom(engine, nowNanos)) {
+      if (tokens > 0 && isCopySource(engine, nowNanos)) {
         holders.add(new PrefixHolders.Holder(engine, tokens));
       }
     }
-    return PrefixHolders.of(holders, soonTokens);
+    return PrefixHolders.of(holders, maxExpectedTokens);
   }
 
-  /** Whether this node or several others suspect the engine. */
+  /** Whether this node or several other nodes suspect the engine of being faulty. */
   boolean suspected(ServingEngine engine, long nowNanos) {
     return load(engine).health().suspended() || peerLoads.suspectedByPeers(engine.id(), nowNanos);
   }
 
-  private boolean canBeCopiedFrom(ServingEngine holder, long nowNanos) {
+  private boolean isCopySource(ServingEngine holder, long nowNanos) {
     return !suspected(holder, nowNanos);
   }
 
   /**
-   * The engine that is preferred to read a new shared part, chosen by rendezvous hashing: all nodes
-   * choose the same, so the part is read once.
+   * The preferred engine for reading a new shared part, chosen by rendezvous hashing: all nodes
+   * choose the same engine, so the part is read only once.
    */
   Optional<ServingEngine> homeEngine(PromptShape prompt, Collection<ServingEngine> candidates) {
     return prompt
@@ -335,15 +345,18 @@
                                 RendezvousHash.weight(part.id(), right.id()))));
   }
 
-  /** How long requests take at the engines of each service; whoever sees them end records it. */
+  /**
+   * Response times of the engines by service; the code that sees a request end records its time.
+   */
   ResponseTimes responseTimes() {
     return responseTimes;
   }
 
   /**
-   * Chooses the engine for an application request by water-filling: requests fill all engines up to
-   * one relative load, counting those that other nodes send before this node learns of them. When
-   * no other requests are expected, it chooses the engine of the least relative load.
+   * Chooses the engine for an application request by water-filling: requests are distributed so
+   * that all engines reach the same relative load, including the requests that other nodes are
+   * expected to send before this node learns of them. When no such requests are expected, it
+   * chooses the engine with the least relative load.
    *
    * @param engines engines that may run the request; at least one
    */
@@ -355,10 +368,10 @@
     List<WaterFilling.EngineFill> engineFills =
         engines.stream().map(engine -> engineFill(engine, nowNanos)).toList();
     int runningByPeers = engines.stream().mapToInt(e -> peerLoads.running(e.id(), nowNanos)).sum();
-    double lag = Math.max(MEAN_REPORT_AGE_MILLIS, lagMillis(nowNanos));
+    double unreportedMillis = Math.max(MEAN_REPORT_AGE_MILLIS, lagMillis(nowNanos));
     double expectedFromOthers =
         waiting.evenFill()
-            ? responseTimes.arrivalsWithin(progress.service(), runningByPeers, lag)
+            ? responseTimes.arrivalsWithin(progress.service(), runningByPeers, unreportedMillis)
             : 0;
     double draw = RendezvousHash.draw(progress.envelope().requestId(), progress.service());
     return engines.get(WaterFilling.choose(engineFills, expectedFromOthers, draw));
@@ -368,39 +381,43 @@
     double capacity =
         Math.max(1, engine.slots()) / slowness(engine, WorkKind.APPLICATION, nowNanos);
     double penalty =
-        FAILURE_RUN_COST * load(engine).health().failureShare(nowNanos)
-            + (engine.zone().equals(zone) ? 0 : OTHER_ZONE_RUN_COST);
+        FAILURE_COST * load(engine).health().failureShare(nowNanos)
+            + (engine.zone().equals(zone) ? 0 : OTHER_ZONE_COST);
     return new WaterFilling.EngineFill(running(engine, nowNanos) / capacity + penalty, capacity);
   }
 
-  private static boolean prefills(ServingEngine engine) {
+  private static boolean isPrefillEngine(ServingEngine engine) {
     return engine.stage() == EngineStage.PREFILL;
   }
 
   /**
-   * Engines that the request may be sent to, without those that it was sent to before. First choice
-   * are healthy engines; if there is none, all that are not leaving; if every engine is leaving,
-   * rests or has reached its limit, those that began to leave a short while ago. Engines that rest
-   * are never included: a node once sent 4 requests within 3 s to an engine that rejected them all,
-   * because it had the least load. Engines whose limit leaves this node no share now are not
-   * included either, since all nodes together would send more than the engine has room for.
+   * Returns the engines that the request may be sent to, without those that it was sent to before.
+   * Healthy engines are preferred. If there is none, all engines that are not leaving are returned;
+   * if every engine is leaving, rests or has reached its limit, those that began to leave recently.
+   *
+   * <p>Engines that rest are never included: a node once sent 4 requests within 3 s to an engine
+   * that rejected them all, because it had the least load. Engines whose limit currently leaves
+   * this node no share are excluded too, since all nodes together would exceed the capacity of the
+   * engine.
    */
   private List<ServingEngine> candidates(
       RequestProgress progress, Predicate<ServingEngine> fits, long nowNanos) {
-    List<ServingEngine> open =
+    List<ServingEngine> allowed =
         directory.ofService(progress.service()).stream()
-            .filter(engine -> !engine.leaving() && fits.test(engine) && open(engine, nowNanos))
+            .filter(
+                engine ->
+                    !engine.leaving() && fits.test(engine) && allowsRequests(engine, nowNanos))
             .toList();
-    List<ServingEngine> good =
-        open.stream().filter(engine -> usable(engine, progress, nowNanos)).toList();
-    if (!good.isEmpty()) {
-      return good;
+    List<ServingEngine> preferred =
+        allowed.stream().filter(engine -> usable(engine, progress, nowNanos)).toList();
+    if (!preferred.isEmpty()) {
+      return preferred;
     }
-    if (!open.isEmpty()) {
-      return open.stream().filter(engine -> !progress.hasTried(engine)).toList();
+    if (!allowed.isEmpty()) {
+      return allowed.stream().filter(engine -> !progress.hasTried(engine)).toList();
     }
     return departures.recentlyLeft(progress.service(), nowNanos).stream()
-        .filter(engine -> fits.test(engine) && open(engine, nowNanos))
+        .filter(engine -> fits.test(engine) && allowsRequests(engine, nowNanos))
         .filter(engine -> usable(engine, progress, nowNanos))
         .toList();
   }
@@ -411,7 +428,8 @@
         && !awaitsAnswerAfterRest(engine);
   }
 
-  private boolean open(ServingEngine engine, long nowNanos) {
+  /** Whether the engine neither rests nor has reached its limit for this node. */
+  private boolean allowsRequests(ServingEngine engine, long nowNanos) {
     return !rests(engine, nowNanos) && notices.limits().takesRequests(engine.id(), nowNanos);
   }
 
@@ -422,7 +440,7 @@
 
   /**
    * Whether the first request after a rest is still unanswered. Its answer shows whether the rest
-   * has ended, so no others are sent before it.
+   * has ended, so no other request is sent until then.
    */
   private boolean awaitsAnswerAfterRest(ServingEngine engine) {
     OptionalLong end = notices.restEnd(engine.id());
@@ -430,27 +448,28 @@
   }
 
   /**
-   * Time until the first engine of a service takes requests again; empty while one takes them now,
-   * or when there is none.
+   * Time until the first engine of a service allows requests again; empty when an engine allows
+   * them now, or when the service has no engine that runs requests and is not leaving.
    */
   Optional<Duration> timeUntilFirstOpen(String service, long nowNanos) {
-    List<ServingEngine> running =
+    List<ServingEngine> runEngines =
         directory.ofService(service).stream()
-            .filter(engine -> !engine.leaving() && !prefills(engine))
+            .filter(engine -> !engine.leaving() && !isPrefillEngine(engine))
             .toList();
-    if (running.isEmpty() || running.stream().anyMatch(engine -> open(engine, nowNanos))) {
+    if (runEngines.isEmpty()
+        || runEngines.stream().anyMatch(engine -> allowsRequests(engine, nowNanos))) {
       return Optional.empty();
     }
-    return running.stream()
-        .map(engine -> timeUntilOpen(engine, nowNanos))
+    return runEngines.stream()
+        .map(engine -> timeUntilAllowsRequests(engine, nowNanos))
         .min(Comparator.naturalOrder());
   }
 
-  private Duration timeUntilOpen(ServingEngine engine, long nowNanos) {
-    Duration room = notices.limits().untilNext(engine.id(), nowNanos);
+  private Duration timeUntilAllowsRequests(ServingEngine engine, long nowNanos) {
+    Duration limitWait = notices.limits().untilNext(engine.id(), nowNanos);
     OptionalLong restEnd = notices.restEnd(engine.id());
-    Duration rest = Duration.ofNanos(Math.max(0, restEnd.orElse(nowNanos) - nowNanos));
-    return rest.compareTo(room) > 0 ? rest : room;
+    Duration restWait = Duration.ofNanos(Math.max(0, restEnd.orElse(nowNanos) - nowNanos));
+    return restWait.compareTo(limitWait) > 0 ? restWait : limitWait;
   }
 
   private boolean healthy(ServingEngine engine, long nowNanos) {
@@ -460,11 +479,11 @@
   }
 
   /**
-   * Returns the choice of least cost. Ties are broken by a hash of the request's id, so that nodes
-   * do not all take the same engine.
+   * Returns the choice with the least cost. Ties are broken by a hash of the request id and the
+   * engine id, so that nodes do not all choose the same engine.
    *
-   * @param cost cost of a choice
-   * @param engineOf the engine of a choice
+   * @param cost returns the cost of a choice
+   * @param engineOf returns the engine of a choice
    */
   static <T> Optional<T> cheapest(
       Stream<T> choices,
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeeds.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/PrefillSpeeds.java
@@ -4,17 +4,17 @@
 import java.util.Map;
 import java.util.function.DoubleSupplier;
 
-/** The speeds at which the engines of each service read prompts. Confined to one thread. */
+/** Estimated prompt reading speed of the engines, by service. Confined to one thread. */
 final class PrefillSpeeds {
 
   private final DoubleSupplier assumedTokensPerMilli;
   private final Map<String, PrefillSpeed> byService = new HashMap<>();
 
   /**
-   * Creates an instance that has learned nothing.
+   * Creates an instance without learned speeds.
    *
-   * @param assumedTokensPerMilli gives the speed in tokens per ms that is assumed until the speed
-   *     of a service is learned
+   * @param assumedTokensPerMilli supplies the speed in tokens per ms that is assumed until the
+   *     speed of a service is learned
    */
   PrefillSpeeds(DoubleSupplier assumedTokensPerMilli) {
     this.assumedTokensPerMilli = assumedTokensPerMilli;
@@ -26,13 +26,13 @@
   }
 
   /**
-   * Returns the speeds by service that this node has learned from enough prompts or has taken over
+   * Returns by service the speeds that this node has learned from enough prompts or has adopted
    * from another node.
    */
   Map<String, LearnedSpeed> learned() {
     Map<String, LearnedSpeed> learned = new HashMap<>();
     byService.forEach(
-        (service, speed) -> speed.learned().ifPresent(known -> learned.put(service, known)));
+        (service, speed) -> speed.learned().ifPresent(value -> learned.put(service, value)));
     return learned;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RefusalCause.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RefusalCause.java
@@ -1,23 +1,23 @@
 package org.fallturn.core.dispatch;
 
 /**
- * Why this node answers a request with an error of its own. The list is closed; metrics and logs
- * count refusals by it.
+ * Why this node itself answers a request with an error. The set of causes is fixed; metrics and
+ * logs count refusals by cause.
  */
 public enum RefusalCause {
-  /** The first token is expected too late. */
+  /** The first token is expected to come too late. */
   FORESEEN,
   /** No engine is expected to have room for the request before its deadline. */
   NO_ROOM,
-  /** Waiting requests have filled the memory that this node allows them. */
+  /** Waiting requests use all the memory that this node allows for them. */
   MEMORY_FULL,
-  /** The deadline passed, or came too close to be met, while the request was at this node. */
+  /** While the request was at this node, its deadline passed or became impossible to meet. */
   TIME_OVER,
-  /** The service has no engine that the request could be sent to. */
+  /** The service has no engine to which the request can be sent. */
   NO_ENGINE,
-  /** No engine that the request was sent to took it, and none can have run it. */
+  /** Every engine that the request was sent to rejected it, and none can have run it. */
   TURNED_AWAY,
-  /** Every engine rests, or has reached its limit. */
+  /** Every engine has asked for no requests for a while or has reached its limit. */
   CLOSED,
   /** The retry budget does not allow another send. */
   RETRY_BUDGET,
@@ -25,6 +25,6 @@
   STOPPING,
   /** An engine may have run the request. */
   OUTCOME_UNKNOWN,
-  /** The content of the request is quarantined because engines crash under it. */
+  /** The content of the request is quarantined because engines crash while they run it. */
   QUARANTINED
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/dispatch/RequestProgress.java
@@ -9,7 +9,8 @@
 import org.fallturn.core.routing.ServingEngine;
 
 /**
- * State of one request over its attempts. Only the dispatcher changes it, on the dispatch thread.
+ * State of one request across its attempts. Only the dispatcher modifies it, on the dispatch
+ * thread.
  */
 public final class RequestProgress {
 
@@ -21,7 +22,7 @@
   private int possibleRuns;
   private int prefillAttempts;
   private int sends;
-  private boolean prefilled;
+  private boolean prefillCompleted;
   private ServingEngine engine;
   private boolean prefilling;
   private int chargedTokens;
@@ -30,23 +31,23 @@
   private Urgency urgency = Urgency.IN_TIME;
   private OptionalLong engineHeardNanos = OptionalLong.empty();
   private int overtakenCount;
-  private boolean begun;
+  private boolean answerBegun;
   private boolean isolated;
   private CacheSource source;
   private ExpectedWork expected;
 
-  /** State of a request that has just arrived. */
+  /** Creates the state of a request that has just arrived. */
   public RequestProgress(RequestEnvelope envelope, RequestContent content) {
     this.envelope = envelope;
     this.content = content;
   }
 
-  /** The facts about the request that decisions are based on. */
+  /** The properties of the request on which decisions are based. */
   public RequestEnvelope envelope() {
     return envelope;
   }
 
-  /** The content, which identifies the request when it comes again under another id. */
+  /** The content, which identifies the request when it is sent again with another id. */
   public RequestContent content() {
     return content;
   }
@@ -68,51 +69,51 @@
     return service;
   }
 
-  /** The engine of the present attempt; empty while there is none. */
+  /** The engine of the current attempt; empty while there is no attempt. */
   public Optional<ServingEngine> engine() {
     return Optional.ofNullable(engine);
   }
 
-  /** Whether the engine of the present attempt only reads the prompt. */
+  /** Whether the current attempt is a prefill, in which the engine only reads the prompt. */
   public boolean prefilling() {
     return prefilling;
   }
 
-  /** Number of engines that may have run the request, including the present one. */
+  /** Number of engines that may have run the request, including that of the current attempt. */
   public int possibleRuns() {
     return possibleRuns;
   }
 
-  /** How often the request was sent to an engine to be run. */
+  /** Number of times that the request was sent to an engine to be run. */
   public int runSends() {
     return runSends;
   }
 
-  /** How often the prompt was sent to a prefill engine. */
+  /** Number of times that the prompt was sent to a prefill engine. */
   public int prefillAttempts() {
     return prefillAttempts;
   }
 
   /**
-   * Whether the next send counts as a repeat: a request needs one run, and one prefill if its
-   * engine carried it out; every send beyond these is a repeat.
+   * Whether the next send counts as a repeat. A request needs one run, and one prefill if an engine
+   * has completed it; every further send is a repeat.
    */
   boolean nextSendIsRepeat() {
-    return sends > (prefilled ? 1 : 0);
+    return sends > (prefillCompleted ? 1 : 0);
   }
 
-  /** Whether the present attempt may be given up in favor of another engine. */
+  /** Whether the current attempt may be abandoned in favor of another engine. */
   boolean mayGoElsewhere() {
     Route route = envelope.route();
     return prefilling || route.repeatable() && possibleRuns < route.maxAttempts();
   }
 
-  /** Whether the target latency of the route has passed. */
+  /** Whether more time than the route's target latency has passed since the request arrived. */
   boolean late(long nowNanos) {
     return nowNanos - envelope.arrivedNanos() > envelope.route().targetLatency().toNanos();
   }
 
-  /** The KV cache of the prompt that an engine keeps to be fetched; empty when there is none. */
+  /** The KV cache of the prompt that an engine holds for transfer; empty when there is none. */
   public Optional<CacheSource> source() {
     return Optional.ofNullable(source);
   }
@@ -126,18 +127,18 @@
     return chargedTokens;
   }
 
-  /** Prompt tokens that the engine was expected to read before this prompt, when it was sent. */
+  /** Prompt tokens that the engine was expected, at the send, to read before this prompt. */
   long aheadTokens() {
     return aheadTokens;
   }
 
-  /** When the present or, between attempts, the last attempt was sent. */
+  /** When the current attempt was sent or, between attempts, the previous one. */
   public long sentNanos() {
     return sentNanos;
   }
 
   /**
-   * When any node first heard from the engine after the present attempt was sent; empty until then.
+   * When any node first heard from the engine after the current attempt was sent; empty until then.
    */
   OptionalLong engineHeardNanos() {
     return engineHeardNanos;
@@ -147,32 +148,35 @@
     engineHeardNanos = OptionalLong.of(nanos);
   }
 
-  /** Urgency level among the requests of the engine. */
+  /** Urgency level that the engine compares with those of its other requests. */
   int level() {
     return urgency.level(envelope.rank());
   }
 
-  /** Whether the request was sent with an urgency behind requests that can be answered in time. */
+  /** Whether the request was sent as less urgent than requests that can be answered in time. */
   boolean sentAsLate() {
     return urgency.late();
   }
 
-  /** Counts a prompt that was sent to the engine later, is no more urgent, and was read earlier. */
+  /**
+   * Counts a prompt that was sent to the engine later and is not more urgent but was read first.
+   */
   void onOvertaken() {
     overtakenCount++;
   }
 
   /**
-   * Records that the answer of the present attempt has begun; returns false if it had begun before.
+   * Records that the answer of the current attempt has begun; returns false if it had begun before.
    */
   boolean beginAnswer() {
-    boolean first = !begun;
-    begun = true;
+    boolean first = !answerBegun;
+    answerBegun = true;
     return first;
   }
 
   /**
-   * Tokens of KV cache that the request occupies while it runs: the prompt and the longest answer.
+   * Maximum number of KV cache tokens that the request occupies while it runs: the prompt and the
+   * longest possible answer.
    */
   long cacheTokens() {
     return envelope
@@ -186,12 +190,14 @@
     return envelope.prompt().filter(PromptShape::longAnswer).isPresent();
   }
 
-  /** Whether the answer of the present attempt has begun. */
+  /** Whether the answer of the current attempt has begun. */
   boolean begun() {
-    return begun;
+    return answerBegun;
   }
 
-  /** How many prompts that were sent to the engine later were read before this one. */
+  /**
+   * Number of prompts that were sent later and are not more urgent but were read before this one.
+   */
   int overtakenCount() {
     return overtakenCount;
   }
@@ -206,28 +212,29 @@
   }
 
   void beginPrefill(
-      ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
-    beginAttempt(chosen, estimate, order, nowNanos);
+      ServingEngine chosen, PlacementEstimate estimate, Urgency attemptUrgency, long nowNanos) {
+    beginAttempt(chosen, estimate, attemptUrgency, nowNanos);
     prefilling = true;
     prefillAttempts++;
   }
 
-  void beginRun(ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
-    beginAttempt(chosen, estimate, order, nowNanos);
+  void beginRun(
+      ServingEngine chosen, PlacementEstimate estimate, Urgency attemptUrgency, long nowNanos) {
+    beginAttempt(chosen, estimate, attemptUrgency, nowNanos);
     prefilling = false;
     runSends++;
     possibleRuns++;
   }
 
   private void beginAttempt(
-      ServingEngine chosen, PlacementEstimate estimate, Urgency order, long nowNanos) {
+      ServingEngine chosen, PlacementEstimate estimate, Urgency attemptUrgency, long nowNanos) {
     engine = chosen;
     aheadTokens = estimate.aheadTokens();
     chargedTokens = estimate.readTokens();
-    urgency = order;
+    urgency = attemptUrgency;
     engineHeardNanos = OptionalLong.empty();
     overtakenCount = 0;
-    begun = false;
+    answerBegun = false;
     sentNanos = nowNanos;
     sends++;
     triedEngines.add(chosen.id());
@@ -239,8 +246,8 @@
   }
 
   /**
-   * Returns and clears the expected work of the present attempt; empty if it is unknown or was
-   * taken before.
+   * Returns and clears the expected work of the current attempt; empty if it is unknown or was
+   * already taken.
    */
   Optional<ExpectedWork> takeExpected() {
     Optional<ExpectedWork> taken = Optional.ofNullable(expected);
@@ -249,7 +256,7 @@
   }
 
   /**
-   * Ends the present attempt.
+   * Ends the current attempt.
    *
    * @param mayHaveRun whether the engine may have run the request
    */
@@ -263,19 +270,19 @@
     chargedTokens = 0;
   }
 
-  /** Takes the last attempt out of the count of sends, since no byte of it reached an engine. */
+  /** Excludes the last attempt from the number of sends, since no byte reached an engine. */
   void uncountSend() {
     sends--;
   }
 
   /**
-   * Records that the prompt has been read.
+   * Records that a prefill has been completed.
    *
-   * @param kept where its KV cache can be fetched
+   * @param newSource where the KV cache of the prompt can be fetched
    */
-  void keepSource(CacheSource kept) {
-    prefilled = true;
-    source = kept;
+  void keepSource(CacheSource newSource) {
+    prefillCompleted = true;
+    source = newSource;
   }
 
   void dropSource() {
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineNoticesTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/EngineNoticesTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Engines announce in their answers that they are leaving or want a rest. A node that ignores both
- * keeps using a leaving engine until the directory changes, and prefers an engine that refuses
- * everything, since nothing runs there.
+ * Engines announce in their answers that they are leaving or want a rest, a period without
+ * requests. A node that ignores these notices keeps using a leaving engine until the directory
+ * changes, and prefers an engine that refuses every request, since it has the least load.
  */
 class EngineNoticesTest {
 
-  /** The time for which the dispatchers of {@link Requests} still use a leaving engine. */
+  /** How long the dispatchers of {@link Requests} may still use a leaving engine. */
   private static final Duration LAST_RESORT = Duration.ofMillis(1_400);
 
   private static final int STEPS = 600;
@@ -61,22 +61,23 @@
     return refuse.retryAfter().orElseThrow();
   }
 
-  private static void leaves(Dispatcher dispatcher, ServingEngine engine, long nowNanos) {
+  private static void announceLeaving(Dispatcher dispatcher, ServingEngine engine, long nowNanos) {
     dispatcher.notices().onLeaving(engine.id(), NoticeSource.ANSWER, nowNanos);
     dispatcher.takeLeaving(nowNanos);
   }
 
-  private static void rests(Dispatcher dispatcher, ServingEngine engine, long millis, long now) {
+  private static void announceRest(
+      Dispatcher dispatcher, ServingEngine engine, long millis, long now) {
     dispatcher.notices().onRest(engine.id(), Duration.ofMillis(millis).toNanos(), now);
   }
 
-  /** The notices of one engine in the model of the property. */
-  private static final class Notices {
+  /** Expected state of one engine according to its notices; reference model of the property. */
+  private static final class EngineModel {
     private final ServingEngine engine;
-    private OptionalLong leavesSince = OptionalLong.empty();
+    private OptionalLong leavingSince = OptionalLong.empty();
     private long restEnd = Long.MIN_VALUE;
 
-    Notices(ServingEngine engine) {
+    EngineModel(ServingEngine engine) {
       this.engine = engine;
     }
 
@@ -84,94 +85,95 @@
       return nowNanos < restEnd;
     }
 
-    boolean open(long nowNanos) {
-      return leavesSince.isEmpty() && !rests(nowNanos);
+    boolean acceptsRequests(long nowNanos) {
+      return leavingSince.isEmpty() && !rests(nowNanos);
     }
   }
 
   /**
-   * Whatever engines announce and whenever: no request goes to an engine that rests, none to a
-   * leaving engine while another is open or once its last resort is over, and each request is sent
-   * while an engine is open.
+   * Checks for random sequences of notices that no request goes to an engine that rests, that none
+   * goes to a leaving engine while another accepts requests or once {@link #LAST_RESORT} has passed
+   * since its notice, and that no request is refused while an engine accepts requests.
    */
   @Property(tries = 60)
-  void whatEnginesSayIsKept(@ForAll long seed) {
+  void noticesOfEnginesAreObeyed(@ForAll long seed) {
     Random random = new Random(seed);
-    Map<String, Notices> noticesById = new HashMap<>();
+    Map<String, EngineModel> modelsById = new HashMap<>();
     for (int number = 0; number < 4; number++) {
       ServingEngine engine = Requests.engine("a-" + number, Requests.APPLICATION, EngineStage.NONE);
-      noticesById.put(engine.id(), new Notices(engine));
+      modelsById.put(engine.id(), new EngineModel(engine));
     }
     Dispatcher dispatcher =
         Requests.dispatcherWithoutWaits(
-            noticesById.values().stream().map(known -> known.engine).toArray(ServingEngine[]::new));
-    List<RequestProgress> present = new ArrayList<>();
+            modelsById.values().stream().map(model -> model.engine).toArray(ServingEngine[]::new));
+    List<RequestProgress> running = new ArrayList<>();
     long now = Requests.START;
     for (int step = 0; step < STEPS; step++) {
       now += Duration.ofMillis(random.nextInt(MAX_STEP_MILLIS)).toNanos();
-      Notices any = noticesById.get("a-" + random.nextInt(noticesById.size()));
+      EngineModel chosen = modelsById.get("a-" + random.nextInt(modelsById.size()));
       switch (random.nextInt(12)) {
         case 0 -> {
           int millis = random.nextInt(MAX_REST_MILLIS);
-          rests(dispatcher, any.engine, millis, now);
-          any.restEnd = Math.max(any.restEnd, now + Duration.ofMillis(millis).toNanos());
+          announceRest(dispatcher, chosen.engine, millis, now);
+          chosen.restEnd = Math.max(chosen.restEnd, now + Duration.ofMillis(millis).toNanos());
         }
         case 1 -> {
-          if (random.nextInt(STEPS / 24) == 0 && any.leavesSince.isEmpty()) {
-            leaves(dispatcher, any.engine, now);
-            any.leavesSince = OptionalLong.of(now);
+          if (random.nextInt(STEPS / 24) == 0 && chosen.leavingSince.isEmpty()) {
+            announceLeaving(dispatcher, chosen.engine, now);
+            chosen.leavingSince = OptionalLong.of(now);
           }
         }
         case 2 ->
             dispatcher.setDirectory(
                 EngineDirectory.of(
-                    step, noticesById.values().stream().map(known -> known.engine).toList()),
+                    step, modelsById.values().stream().map(model -> model.engine).toList()),
                 now);
         case 3, 4, 5 -> {
-          if (!present.isEmpty()) {
-            dispatcher.onFinished(present.remove(random.nextInt(present.size())), now);
+          if (!running.isEmpty()) {
+            dispatcher.onFinished(running.remove(random.nextInt(running.size())), now);
           }
         }
         default -> {
           RequestProgress request = requestAt(now);
           Decision decision = dispatcher.start(request, now);
-          check(noticesById, decision, now);
+          check(modelsById, decision, now);
           if (decision instanceof Decision.Run) {
-            present.add(request);
+            running.add(request);
           }
         }
       }
     }
   }
 
-  private static void check(Map<String, Notices> noticesById, Decision decision, long now) {
-    boolean anyOpen = noticesById.values().stream().anyMatch(known -> known.open(now));
+  private static void check(Map<String, EngineModel> modelsById, Decision decision, long now) {
+    boolean anyAcceptsRequests =
+        modelsById.values().stream().anyMatch(model -> model.acceptsRequests(now));
     if (!(decision instanceof Decision.Run run)) {
-      assertThat(anyOpen).as("refused while an engine was open").isFalse();
+      assertThat(anyAcceptsRequests).as("refused while an engine was open").isFalse();
       return;
     }
-    Notices chosen = noticesById.get(run.engine().id());
+    EngineModel chosen = modelsById.get(run.engine().id());
     assertThat(chosen.rests(now)).as("sent to an engine that rests").isFalse();
-    if (chosen.leavesSince.isPresent()) {
-      assertThat(anyOpen).as("sent to an engine that leaves").isFalse();
-      assertThat(now - chosen.leavesSince.getAsLong()).isLessThan(LAST_RESORT.toNanos());
+    if (chosen.leavingSince.isPresent()) {
+      assertThat(anyAcceptsRequests).as("sent to an engine that leaves").isFalse();
+      assertThat(now - chosen.leavingSince.getAsLong()).isLessThan(LAST_RESORT.toNanos());
     }
   }
 
   @Test
-  void leavingEnginesAreALastResortForATime() {
+  void leavingEnginesAreUsedAsLastResortForALimitedTime() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
-    leaves(dispatcher, appOne, after(10));
-    leaves(dispatcher, appTwo, after(500));
+    announceLeaving(dispatcher, appOne, after(10));
+    announceLeaving(dispatcher, appTwo, after(500));
     assertThat(engineOf(dispatcher.start(request(), after(600)))).isIn("a-1", "a-2");
     assertThat(engineOf(dispatcher.start(request(), after(1_500)))).isEqualTo("a-2");
     assertThat(dispatcher.start(request(), after(1_900))).isInstanceOf(Decision.Refuse.class);
   }
 
   @Test
-  void directoryEntryDoesNotBringALeavingEngineBack() {
+  void newDirectoryEntryDoesNotCancelALeavingNotice() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
-    leaves(dispatcher, appOne, after(10));
+    announceLeaving(dispatcher, appOne, after(10));
     dispatcher.setDirectory(EngineDirectory.of(2, List.of(appTwo)), after(20));
     dispatcher.setDirectory(EngineDirectory.of(3, List.of(appOne, appTwo)), after(9_000));
     for (int number = 0; number < 20; number++) {
@@ -185,8 +187,8 @@
     ServingEngine first = engineStartedAt(1);
     ServingEngine second = engineStartedAt(2);
     Dispatcher dispatcher = Requests.dispatcher(first);
-    leaves(dispatcher, first, after(10));
-    rests(dispatcher, first, 60_000, after(10));
+    announceLeaving(dispatcher, first, after(10));
+    announceRest(dispatcher, first, 60_000, after(10));
     dispatcher.setDirectory(EngineDirectory.of(2, List.of(second)), after(20));
     assertThat(engineOf(dispatcher.start(request(), after(30)))).isEqualTo(second.id());
   }
@@ -206,10 +208,10 @@
   }
 
   @Test
-  void leavingEngineIsAvoidedAndReportedUntilItsEntrySaysSo() {
+  void leavingEngineIsAvoidedAndReportedUntilItsEntryIsLeaving() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
-    RequestProgress there = request();
-    String used = engineOf(dispatcher.start(there, after(5)));
+    RequestProgress earlier = request();
+    String used = engineOf(dispatcher.start(earlier, after(5)));
     EngineDigest digest =
         new EngineDigest(0, 0, List.of(), 0, 0, EngineDigest.NOT_HEARD).withLeaving(1);
     Requests.receive(
@@ -229,10 +231,10 @@
   }
 
   @Test
-  void refusalSaysWhenTheFirstRestEnds() {
+  void refusalAsksToRetryAfterTheFirstRestEnds() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
-    rests(dispatcher, appOne, 3_000, after(0));
-    rests(dispatcher, appTwo, 2_000, after(0));
+    announceRest(dispatcher, appOne, 3_000, after(0));
+    announceRest(dispatcher, appTwo, 2_000, after(0));
     Duration first = retryAfter(dispatcher.start(request(), after(500)));
     assertThat(first).isBetween(Duration.ofMillis(1_500), Duration.ofMillis(1_900));
     assertThat(engineOf(dispatcher.start(request(), after(500 + first.toMillis() + 1))))
@@ -240,13 +242,13 @@
   }
 
   /**
-   * Guards against a burst at the end of a rest: if all requests came back at once, the engine
-   * would refuse them together, and each would need a repeat.
+   * Guards against a burst at the end of a rest: if the node sent all requests to the engine at
+   * once, the engine would refuse them all, and each would need a repeat.
    */
   @Test
   void oneRequestProbesWhetherARestHasEnded() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
-    rests(dispatcher, appOne, 1_000, after(0));
+    announceRest(dispatcher, appOne, 1_000, after(0));
     RequestProgress first = request();
     assertThat(engineOf(dispatcher.start(first, after(1_001)))).isIn("a-1", "a-2");
     List<RequestProgress> sent = new ArrayList<>();
@@ -269,11 +271,11 @@
   }
 
   /**
-   * A request that waited for a connection while its engine began to rest goes to another engine,
-   * and the engine is not blamed.
+   * A request that was waiting for a connection when its engine began to rest goes to another
+   * engine, and does not count as a failure of the first.
    */
   @Test
-  void requestThatWasHeldBackIsSentElsewhereWithoutARepeat() {
+  void heldBackRequestIsSentToAnotherEngineWithoutARepeat() {
     Dispatcher dispatcher = Requests.dispatcher(0, appOne, appTwo);
     for (int number = 0; number < 20; number++) {
       RequestProgress request = Requests.application(RequestKind.NON_IDEMPOTENT, 1);
@@ -286,20 +288,20 @@
   }
 
   @Test
-  void sendingThatBeginsIsStoppedOnceItsEngineRestsOrHasLeft() {
+  void beginningSendIsStoppedWhileItsEngineRestsOrAfterTheLastResort() {
     Dispatcher dispatcher = Requests.dispatcher(appOne, appTwo);
     EngineNotices notices = dispatcher.notices();
     assertThat(notices.takesRequests("a-1", after(0))).isTrue();
-    rests(dispatcher, appOne, 100, after(0));
+    announceRest(dispatcher, appOne, 100, after(0));
     assertThat(notices.takesRequests("a-1", after(50))).isFalse();
     assertThat(notices.takesRequests("a-1", after(100))).isTrue();
-    leaves(dispatcher, appOne, after(200));
+    announceLeaving(dispatcher, appOne, after(200));
     assertThat(notices.takesRequests("a-1", after(200))).isTrue();
     assertThat(notices.takesRequests("a-1", after(200) + LAST_RESORT.toNanos())).isFalse();
   }
 
   @Test
-  void theLongestRestCountsAndNoneIsEndless() {
+  void longestRestAppliesAndEveryRestEnds() {
     EngineNotices notices = Requests.dispatcher(appOne).notices();
     assertThat(notices.onRest("a-1", Duration.ofSeconds(3).toNanos(), after(0))).isTrue();
     assertThat(notices.onRest("a-1", Duration.ofSeconds(1).toNanos(), after(0))).isFalse();
--- a/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillSpeedTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/dispatch/PrefillSpeedTest.java
@@ -6,16 +6,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The learned speed must follow the engines. Delays that are not reading, such as calls of a busy
- * node and prompts that waited, must not make engines seem slow.
+ * The learned speed must follow the actual speed of the engines. Delays other than reading, such as
+ * slow calls of a busy node and the waiting time of prompts, must not make engines seem slow.
  */
 class PrefillSpeedTest {
 
   private static final double ASSUMED_SPEED = 40;
 
   /**
-   * Guards against sending every prompt to decode engines: a node whose calls take long must not
-   * attribute their overhead to the prefill engines.
+   * Guards against sending every prompt to decode engines: a node whose calls are slow must not
+   * attribute the overhead of the calls to the prefill engines.
    */
   @Test
   void overheadOfACallDoesNotFavorDecodeEngines() {
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void samplesThatABusyNodeTimedTooLateSoonLoseWeight() {
+  void lateMeasurementsOfABusyNodeSoonLoseWeight() {
     PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
     speed.observe(0, 3_000, 400);
     speed.observe(0, 9_000, 260);
@@ -39,19 +39,19 @@
   }
 
   /**
-   * A node that has just taken over a speed reports that speed to others, so it must not be the
-   * node's own assumption.
+   * A node that has just adopted a speed reports it to others, so the reported speed must not be
+   * the node's configured assumption.
    */
   @Test
-  void speedOfAnotherNodeIsTakenOverOnceAndOnlyWithFewSamples() {
-    PrefillSpeed started = new PrefillSpeed(ASSUMED_SPEED);
-    started.onPeerReport(new LearnedSpeed(0.005));
-    started.onPeerReport(new LearnedSpeed(0.5));
-    assertThat(started.tokenMillis()).isCloseTo(0.005, within(1e-9));
-    assertThat(started.isKnown()).isTrue();
+  void speedOfAnotherNodeIsAdoptedOnceAndOnlyWithFewSamples() {
+    PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
+    speed.onPeerReport(new LearnedSpeed(0.005));
+    speed.onPeerReport(new LearnedSpeed(0.5));
+    assertThat(speed.tokenMillis()).isCloseTo(0.005, within(1e-9));
+    assertThat(speed.isKnown()).isTrue();
   }
 
-  /** Under load most prompts wait, some of them behind prompts that are not known yet. */
+  /** Under load most prompts wait, some of them behind prompts that this node does not know yet. */
   @Test
   void promptsThatWaitedDoNotMakeEnginesSeemSlow() {
     PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void learnsWithinAFewSamples() {
+  void speedIsLearnedFromFewSamples() {
     PrefillSpeed speed = new PrefillSpeed(ASSUMED_SPEED);
     assertThat(speed.isKnown()).isFalse();
     for (int tokens = 2_000; tokens < 14_000; tokens += 1_000) {
--- a/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/duty/FaultListener.java
@@ -3,13 +3,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Receives every fault that a duty did not catch. Called on the threads of several duties, so
- * implementations must be thread-safe.
+ * Receives every exception or error that a duty did not catch. Called on the threads of several
+ * duties, so implementations must be thread-safe.
  */
 @FunctionalInterface
 public interface FaultListener {
 
-  /** A listener that only logs, for duties whose end does not end the process. */
+  /** A listener that only logs, for duties that can end while the process keeps running. */
   FaultListener LOG_ONLY =
       (duty, fault, decision) ->
           LoggerFactory.getLogger(FaultListener.class)
@@ -20,8 +20,8 @@
    * Called on the duty's thread after a fault.
    *
    * @param duty name of the duty
-   * @param fault what the duty threw
-   * @param decision how the duty continues
+   * @param fault the exception or error that the duty threw
+   * @param decision whether and how the duty continues
    */
   void onFault(String duty, Throwable fault, FaultDecision decision);
 }
