--- a/fallturn-core/src/main/java/org/fallturn/core/request/AttemptFailure.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/AttemptFailure.java
@@ -1,26 +1,26 @@
 package org.fallturn.core.request;
 
 /**
- * Why an engine did not do its part of an attempt.
+ * The failure of one attempt at an engine or another back end. Immutable.
  *
- * @param kind what is known of the work
+ * @param kind how the attempt failed, and with it whether the work may have run
  * @param message one sentence for the log and the caller
  */
 public record AttemptFailure(Kind kind, String message) {
 
-  /** What is known of the work behind a failure. */
+  /** How an attempt failed. */
   public enum Kind {
     /** The connection failed before any byte of the request was sent. */
     NOT_SENT(false),
     /** The engine answered that it did not start the work. */
     REFUSED(false),
-    /** The engine says that the request itself is wrong; it did not start. */
+    /** The engine rejected the request as invalid and did not start the work. */
     MALFORMED(false),
     /** The connection broke after the request may have reached the engine. */
     BROKEN(true),
-    /** Nothing came for too long. */
+    /** The engine sent nothing for longer than the permitted time. */
     STALLED(true),
-    /** The engine sent what does not belong to this request, or left a gap. */
+    /** The engine sent data that does not belong to this request, or a stream with a gap. */
     CORRUPT(true);
 
     private final boolean mayHaveRun;
@@ -29,7 +29,7 @@
       this.mayHaveRun = mayHaveRun;
     }
 
-    /** Whether the engine may have done some of the work. */
+    /** Returns whether the engine may have done some of the work. */
     public boolean mayHaveRun() {
       return mayHaveRun;
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/request/ForwardStateMachine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/ForwardStateMachine.java
@@ -4,11 +4,12 @@
 import org.fallturn.core.error.Outcome;
 
 /**
- * Decides what follows when a back end did not answer a forwarded request. Not thread-safe.
+ * State machine that decides whether a forwarded request is retried or fails after a back end did
+ * not answer it. Not thread-safe.
  *
  * <p>Invariants: a request that is not repeatable is sent to no further back end once one failed
- * after it may have seen the request; an error kind whose outcome is not-run only while no back end
- * may have seen the request.
+ * after it may have seen the request; the request fails with an error kind whose outcome is not-run
+ * only while no back end may have seen it.
  */
 public final class ForwardStateMachine {
 
@@ -18,31 +19,34 @@
   private boolean mayHaveBeenSeen;
 
   /**
-   * A request that was not sent yet.
+   * Creates the state machine of a request that was not sent yet.
    *
-   * @param repeatable whether it may be sent again after a back end may have seen it
-   * @param maxAttempts most back ends tried
+   * @param repeatable whether the request may be sent again after a back end may have seen it
+   * @param maxAttempts maximum number of back ends to try, at least 1
    */
   public ForwardStateMachine(boolean repeatable, int maxAttempts) {
     this.repeatable = repeatable;
     this.maxAttempts = maxAttempts;
   }
 
-  /** What follows. */
+  /** What the node must do after a back end failed. */
   public sealed interface Decision {}
 
   /** Send the request to another back end. */
   public record TryAnother() implements Decision {}
 
   /**
-   * Give the request up.
+   * Fail the request.
    *
-   * @param kind entry of the closed list
+   * @param kind error kind to answer the caller with
    * @param message one sentence for the caller
    */
   public record GiveUp(ErrorKind kind, String message) implements Decision {}
 
-  /** A back end failed before its answer was whole and before any of it went to the caller. */
+  /**
+   * Handles the failure of a back end whose answer was incomplete and of which no part went to the
+   * caller.
+   */
   public Decision onFailure(AttemptFailure failure) {
     attempts++;
     boolean mayHaveRun = failure.kind().mayHaveRun();
@@ -56,20 +60,25 @@
     return new TryAnother();
   }
 
-  /** No back end is left to try. */
+  /** Handles the case that no back end is left to try. */
   public GiveUp onNoBackEnd() {
     return giveUp(ErrorKind.NO_CAPACITY, "no back end of the service can take the request now");
   }
 
-  /** The deadline passed; {@code waiting} says whether a back end's answer was awaited. */
-  public GiveUp onDeadline(boolean waiting) {
-    mayHaveBeenSeen |= waiting;
+  /**
+   * Handles the end of the request's deadline.
+   *
+   * @param awaitingAnswer whether the request is at a back end whose answer has not arrived
+   */
+  public GiveUp onDeadline(boolean awaitingAnswer) {
+    mayHaveBeenSeen |= awaitingAnswer;
     ErrorKind kind = mayHaveBeenSeen ? ErrorKind.DEADLINE_EXCEEDED : ErrorKind.DEADLINE_UNREACHABLE;
     return new GiveUp(kind, "the deadline passed");
   }
 
+  /** Replaces a not-run error by OUTCOME_UNKNOWN once a back end may have seen the request. */
   private GiveUp giveUp(ErrorKind kind, String message) {
-    boolean dishonest = kind.outcome() == Outcome.NOT_RUN && mayHaveBeenSeen;
-    return new GiveUp(dishonest ? ErrorKind.OUTCOME_UNKNOWN : kind, message);
+    boolean contradictsNotRun = kind.outcome() == Outcome.NOT_RUN && mayHaveBeenSeen;
+    return new GiveUp(contradictsNotRun ? ErrorKind.OUTCOME_UNKNOWN : kind, message);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/request/RequestAction.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/RequestAction.java
@@ -9,29 +9,32 @@
 import org.fallturn.core.port.engine.PrefillRequest;
 import org.fallturn.core.port.engine.TokenChunk;
 
-/** Something the node must do for a request, in the order given. */
+/**
+ * An action that {@link RequestStateMachine} returns; the node performs the actions in the order of
+ * the returned list.
+ */
 public sealed interface RequestAction {
 
   /**
-   * Ask where the request should run.
+   * Ask the placement service which engines should run the request.
    *
-   * @param request the question; its attempt number comes back with the answer
+   * @param request the query; the answer's event must carry its attempt number
    */
   record AskPlacement(PlacementRequest request) implements RequestAction {}
 
   /**
-   * Hand in {@link RequestEvent.RetryDue} after a delay.
+   * Schedule a {@link RequestEvent.RetryDue} event, with which placement is tried again.
    *
-   * @param delayMillis the delay
+   * @param delayMillis delay until the event, in ms
    */
   record ScheduleRetry(long delayMillis) implements RequestAction {}
 
   /**
    * Send the prompt to a prefill engine.
    *
-   * @param attempt the attempt
+   * @param attempt number of the attempt, from 0
    * @param target the engine
-   * @param request what to send
+   * @param request the message to send
    */
   record SendPrefill(int attempt, EngineTarget target, PrefillRequest request)
       implements RequestAction {}
@@ -39,48 +42,48 @@
   /**
    * Open a stream of tokens from a decode engine.
    *
-   * @param attempt the attempt
+   * @param attempt number of the attempt, from 0
    * @param target the engine
-   * @param request what to send
+   * @param request the message to send
    */
   record SendGenerate(int attempt, EngineTarget target, GenerateRequest request)
       implements RequestAction {}
 
   /**
-   * Give the caller the next tokens of its answer.
+   * Deliver to the caller the next tokens of its answer.
    *
-   * @param tokens never given before, without gap
-   * @param finish why the answer ends with them, or NONE
+   * @param tokens tokens that follow directly on those delivered before
+   * @param finish why the answer ends after these tokens, or NONE if it goes on
    */
   record Deliver(List<String> tokens, TokenChunk.Finish finish) implements RequestAction {}
 
   /**
-   * Drop the exchange with an engine and tell it to stop working on the request.
+   * Close the exchange with an engine and tell the engine to cancel the request.
    *
-   * @param attempt the attempt
+   * @param attempt number of the attempt, from 0
    * @param target the engine
    */
   record Cancel(int attempt, EngineTarget target) implements RequestAction {}
 
   /**
-   * Tell the pool's leader what became of a placement.
+   * Report the progress of a placement to the pool's leader.
    *
    * @param progress the message
    */
   record Report(PlacementProgress progress) implements RequestAction {}
 
   /**
-   * The request is over without a whole answer. Nothing follows.
+   * End the request with an error, before its answer is complete. No action follows.
    *
-   * @param kind entry of the closed list
+   * @param kind error kind to answer the caller with
    * @param message one sentence for the caller
-   * @param retryAfterMillis when coming back makes sense; 0 for no advice
+   * @param retryAfterMillis time in ms after which the caller may retry; 0 to suggest none
    */
   record Fail(ErrorKind kind, String message, long retryAfterMillis) implements RequestAction {}
 
-  /** The caller has its whole answer. Nothing follows. */
+  /** End the request: the caller has the complete answer. No action follows. */
   record Complete() implements RequestAction {}
 
-  /** The caller is gone; there is nobody to answer. Nothing follows. */
+  /** End the request without an answer, because the caller has disconnected. No action follows. */
   record Abandon() implements RequestAction {}
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/request/RequestStateMachine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/RequestStateMachine.java
@@ -21,22 +21,23 @@
 import org.fallturn.core.port.engine.TokenChunk.Finish;
 
 /**
- * The life of one model request. Not thread-safe: one thread at a time feeds events and performs
- * the returned actions in order.
+ * State machine of one model request, from placement to its end. Not thread-safe: one thread at a
+ * time passes events and performs the returned actions in order.
  *
- * <p>Invariants: the delivered tokens are a prefix of the answer, each token once; a request ends
+ * <p>Invariants: the delivered tokens are a prefix of the answer without duplicates; a request ends
  * with exactly one of {@link RequestAction.Complete}, {@link RequestAction.Fail} and {@link
- * RequestAction.Abandon}; Complete only after a chunk that ends the answer; an error kind whose
- * outcome is not-run only while no engine may have seen the request; a request that is not
- * repeatable is sent to no further engine once one failed after it may have seen the request.
+ * RequestAction.Abandon}; it completes only after a chunk that ends the answer, or when an engine
+ * fails after the maximum number of tokens was delivered; it fails with an error kind whose outcome
+ * is not-run only while no engine may have seen it; a request that is not repeatable is sent to no
+ * further engine once one failed after it may have seen the request.
  */
 public final class RequestStateMachine {
 
   private static final long MILLIS_TO_NANOS = 1_000_000;
-  private static final long RETRY_SOON_MILLIS = 1_000;
-  private static final long PLACE_AGAIN_MILLIS = 100;
+  private static final long DEFAULT_RETRY_AFTER_MILLIS = 1_000;
+  private static final long PLACEMENT_RETRY_MILLIS = 100;
 
-  /** Where the request is in its life. */
+  /** State of the request; WAITING is the delay before another placement query. */
   private enum Phase {
     CREATED,
     PLACING,
@@ -53,41 +54,41 @@
   private int attempt = -1;
   private int deliveredTokens;
   private int engineFailures;
-  private long retryAdviceMillis = RETRY_SOON_MILLIS;
+  private long lastRetryAfterMillis = DEFAULT_RETRY_AFTER_MILLIS;
   private boolean engineMayHaveSeen;
   private PlacementAnswer.Placed placement;
 
   /**
-   * A request that has not started.
+   * Creates the state machine of a request that has not started.
    *
-   * @param deadlineNanos monotonic time by which the answer must be complete
+   * @param deadlineNanos monotonic time in ns by which the answer must be complete
    */
   public RequestStateMachine(RequestSpec spec, long deadlineNanos) {
     this.spec = spec;
     this.deadlineNanos = deadlineNanos;
   }
 
-  /** Tokens given to the caller so far. */
+  /** Returns the number of tokens delivered to the caller so far. */
   public int deliveredTokens() {
     return deliveredTokens;
   }
 
-  /** Whether the request is over. */
+  /** Returns whether the request has ended. */
   public boolean ended() {
     return phase == Phase.ENDED;
   }
 
-  /** Whether tokens are awaited from a decode engine. */
+  /** Returns whether a decode engine is expected to send tokens. */
   public boolean decoding() {
     return phase == Phase.DECODING;
   }
 
-  /** The attempt in progress, from 0. */
+  /** Returns the number of the current attempt, from 0; -1 before the start. */
   public int attempt() {
     return attempt;
   }
 
-  /** Asks for the first placement. */
+  /** Starts the request: asks for the first placement. */
   public List<RequestAction> start(long nowNanos) {
     if (phase != Phase.CREATED) {
       throw new IllegalStateException("the request has started already");
@@ -95,10 +96,13 @@
     return nextAttempt(nowNanos);
   }
 
-  /** Takes one event and says what to do. An event that comes too late has no effect. */
+  /**
+   * Handles one event and returns the actions that follow. An event that arrives too late leaves
+   * the state as it is.
+   */
   public List<RequestAction> on(RequestEvent event, long nowNanos) {
     if (phase == Phase.ENDED) {
-      return afterTheEnd(event);
+      return onEventAfterEnd(event);
     }
     if (event instanceof RequestEvent.ChunkReceived received) {
       return onChunk(received, nowNanos);
@@ -156,8 +160,8 @@
   }
 
   private List<RequestAction> onPlacement(RequestEvent.PlacementAnswered event, long nowNanos) {
-    boolean awaited = phase == Phase.PLACING && event.attempt() == attempt;
-    if (!awaited) {
+    boolean expected = phase == Phase.PLACING && event.attempt() == attempt;
+    if (!expected) {
       return releaseLatePlacement(event);
     }
     if (event.answer() instanceof PlacementAnswer.Placed placed) {
@@ -167,23 +171,26 @@
           : sendGenerate(Optional.empty());
     }
     if (event.answer() instanceof PlacementAnswer.Refused refused) {
-      return onNoPlace(refused.kind(), refused.message(), refused.retryAfterMillis());
+      return onNotPlaced(refused.kind(), refused.message(), refused.retryAfterMillis());
     }
-    return onNoPlace(ErrorKind.NO_CAPACITY, "the pool has no leader now", RETRY_SOON_MILLIS);
+    return onNotPlaced(
+        ErrorKind.NO_CAPACITY, "the pool has no leader now", DEFAULT_RETRY_AFTER_MILLIS);
   }
 
   /**
-   * Work that an engine has begun is not given up for want of a place while there is time left: an
-   * engine may come back, also one that failed before. Work not begun is refused at once.
+   * Handles a placement that failed. A repeatable request that an engine may have begun waits and
+   * asks again until its deadline, because an engine may become available again, including one that
+   * failed before. A request that no engine has begun fails at once.
    */
-  private List<RequestAction> onNoPlace(ErrorKind kind, String message, long retryAfterMillis) {
-    boolean goesOn = kind == ErrorKind.NO_CAPACITY && engineMayHaveSeen && spec.repeatable();
-    if (!goesOn) {
+  private List<RequestAction> onNotPlaced(ErrorKind kind, String message, long retryAfterMillis) {
+    boolean retriesPlacement =
+        kind == ErrorKind.NO_CAPACITY && engineMayHaveSeen && spec.repeatable();
+    if (!retriesPlacement) {
       return end(kind, message, retryAfterMillis);
     }
     phase = Phase.WAITING;
-    retryAdviceMillis = retryAfterMillis;
-    return List.of(new RequestAction.ScheduleRetry(PLACE_AGAIN_MILLIS));
+    lastRetryAfterMillis = retryAfterMillis;
+    return List.of(new RequestAction.ScheduleRetry(PLACEMENT_RETRY_MILLIS));
   }
 
   private List<RequestAction> onRetryDue(long nowNanos) {
@@ -194,7 +201,7 @@
     return nextAttempt(nowNanos);
   }
 
-  private List<RequestAction> afterTheEnd(RequestEvent event) {
+  private List<RequestAction> onEventAfterEnd(RequestEvent event) {
     return event instanceof RequestEvent.PlacementAnswered answered
         ? releaseLatePlacement(answered)
         : List.of();
@@ -211,7 +218,7 @@
     if (phase != Phase.PLACING || event.attempt() != attempt) {
       return List.of();
     }
-    return onNoPlace(ErrorKind.NO_CAPACITY, event.message(), RETRY_SOON_MILLIS);
+    return onNotPlaced(ErrorKind.NO_CAPACITY, event.message(), DEFAULT_RETRY_AFTER_MILLIS);
   }
 
   private List<RequestAction> sendPrefill(EngineTarget target) {
@@ -305,12 +312,12 @@
     }
     engineFailures++;
     if (engineFailures >= spec.maxAttempts()) {
-      return end(ErrorKind.NO_CAPACITY, failure.message(), retryAdviceMillis);
+      return end(ErrorKind.NO_CAPACITY, failure.message(), lastRetryAfterMillis);
     }
     return nextAttempt(nowNanos);
   }
 
-  /** Every token the answer may have is there; only the word that it ends was lost. */
+  /** Completes an answer that has its maximum number of tokens; only the end marker was lost. */
   private List<RequestAction> completeAtLimit() {
     phase = Phase.ENDED;
     return List.of(
@@ -341,6 +348,7 @@
         deliver, report(placement, attempt, Stage.COMPLETED), new RequestAction.Complete());
   }
 
+  /** Returns what is wrong with a chunk, or null if it may be delivered or is a duplicate. */
   private String faultOf(TokenChunk chunk) {
     if (!spec.requestId().equals(chunk.requestId())) {
       return "the engine sent tokens of another request";
@@ -363,22 +371,22 @@
   }
 
   private List<RequestAction> onDeadline() {
-    List<RequestAction> actions = new ArrayList<>(leaveEngine());
+    List<RequestAction> actions = new ArrayList<>(cancelExchange());
     ErrorKind kind =
         engineMayHaveSeen ? ErrorKind.DEADLINE_EXCEEDED : ErrorKind.DEADLINE_UNREACHABLE;
-    actions.addAll(end(kind, "the deadline passed", RETRY_SOON_MILLIS));
+    actions.addAll(end(kind, "the deadline passed", DEFAULT_RETRY_AFTER_MILLIS));
     return actions;
   }
 
   private List<RequestAction> onCallerGone() {
-    List<RequestAction> actions = new ArrayList<>(leaveEngine());
+    List<RequestAction> actions = new ArrayList<>(cancelExchange());
     phase = Phase.ENDED;
     actions.add(new RequestAction.Abandon());
     return actions;
   }
 
-  /** Stops the exchange in progress; after it, an engine may have seen the request. */
-  private List<RequestAction> leaveEngine() {
+  /** Cancels the exchange in progress, if any; its engine may have seen the request. */
+  private List<RequestAction> cancelExchange() {
     if (phase != Phase.PREFILLING && phase != Phase.DECODING) {
       return List.of();
     }
@@ -396,12 +404,12 @@
 
   private List<RequestAction> end(ErrorKind kind, String message, long retryAfterMillis) {
     phase = Phase.ENDED;
-    ErrorKind honest = honestKind(kind);
-    return List.of(new RequestAction.Fail(honest, message, retryAfterMillis));
+    ErrorKind reported = reportedKind(kind);
+    return List.of(new RequestAction.Fail(reported, message, retryAfterMillis));
   }
 
-  /** Never lets an error say not-run once an engine may have seen the request. */
-  private ErrorKind honestKind(ErrorKind kind) {
+  /** Replaces a not-run error by OUTCOME_UNKNOWN once an engine may have seen the request. */
+  private ErrorKind reportedKind(ErrorKind kind) {
     boolean saysNotRun = kind.outcome() == Outcome.NOT_RUN;
     return saysNotRun && engineMayHaveSeen ? ErrorKind.OUTCOME_UNKNOWN : kind;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/request/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The life of one model request as a pure state machine: placement, prefill, decode, resume after a
- * failure, deadline, cancel and outcome. Events go in, actions come out.
+ * State machines of one request, without I/O: they take events and return actions or decisions.
+ * That of a model request covers placement, prefill, decode, resumption after a failure, deadline,
+ * cancellation and outcome; that of a forwarded request covers retries at other back ends.
  */
 package org.fallturn.core.request;
--- a/fallturn-core/src/main/java/org/fallturn/core/usage/UsageLedger.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/usage/UsageLedger.java
@@ -5,22 +5,29 @@
 import java.util.TreeMap;
 
 /**
- * What each process of the fleet has counted, by window and tenant.
+ * Numbers of requests that each process of the fleet has counted, by window and tenant: a grow-only
+ * counter (G-counter) for each window and tenant.
  *
- * <p>Invariant: a process tells sums that only rise, and the highest that was told counts, so that
- * messages may be lost, repeated or late. Windows far from the present are neither taken nor kept.
- * One thread calls.
+ * <p>Invariant: the sums that a process publishes only increase, and the highest one received is
+ * kept, so that messages may be lost, repeated or late. Windows far from the present one are
+ * neither accepted nor kept. Only one thread may call.
  */
 public final class UsageLedger {
 
-  /** Windows before and after the present one that are kept: older ones are past their report. */
+  /**
+   * Number of windows kept before and after the present one. Older windows are past the time at
+   * which they are reported.
+   */
   private static final int KEPT_WINDOWS = 4;
 
   private final UsageWindows windows;
   private final Map<Long, Map<Process, Map<String, Integer>>> counts = new HashMap<>();
 
   private record Process(String node, long incarnation) {
-    /** As a record would, without the method handles whose making each start would pay. */
+    /**
+     * Compares like the generated method, which would create method handles at each start of the
+     * process.
+     */
     @Override
     public boolean equals(Object other) {
       return other instanceof Process that
@@ -34,12 +41,18 @@
     }
   }
 
-  /** A ledger without counts. */
+  /** Creates a ledger without counts. */
   public UsageLedger(UsageWindows windows) {
     this.windows = windows;
   }
 
-  /** A request of a tenant began to run at a node. */
+  /**
+   * Counts one request that began to run.
+   *
+   * @param node name of the node that ran it
+   * @param incarnation incarnation of the node's process
+   * @param unixMillis Unix time in ms at which the request began
+   */
   public void count(String node, long incarnation, String tenant, long unixMillis) {
     prune(unixMillis);
     of(windows.at(unixMillis), new Process(node, incarnation)).merge(tenant, 1, Integer::sum);
@@ -51,15 +64,19 @@
         .computeIfAbsent(process, one -> new HashMap<>());
   }
 
-  /** A process told what it has counted. */
-  public void onPeerReport(UsageCounts news, long unixMillis) {
+  /**
+   * Merges the counts that a process published.
+   *
+   * @param unixMillis present Unix time in ms
+   */
+  public void onPeerReport(UsageCounts published, long unixMillis) {
     prune(unixMillis);
-    Process process = new Process(news.node(), news.incarnation());
-    news.counts()
+    Process process = new Process(published.node(), published.incarnation());
+    published.counts()
         .forEach(
-            (window, told) -> {
+            (window, sums) -> {
               if (isNear(window, unixMillis)) {
-                told.forEach((tenant, sum) -> of(window, process).merge(tenant, sum, Math::max));
+                sums.forEach((tenant, sum) -> of(window, process).merge(tenant, sum, Math::max));
               }
             });
   }
@@ -72,7 +89,7 @@
     counts.keySet().removeIf(window -> !isNear(window, unixMillis));
   }
 
-  /** What one process has counted in a window. */
+  /** Returns what one process has counted in a window, by tenant. */
   public Map<String, Integer> ofProcess(long window, String node, long incarnation) {
     return Map.copyOf(
         counts
@@ -80,7 +97,7 @@
             .getOrDefault(new Process(node, incarnation), Map.of()));
   }
 
-  /** What all processes have counted in a window, by tenant. */
+  /** Returns the sums over all processes in a window, by tenant. */
   public Map<String, Long> total(long window) {
     Map<String, Long> total = new TreeMap<>();
     for (Map<String, Integer> one : counts.getOrDefault(window, Map.of()).values()) {
--- a/fallturn-core/src/main/java/org/fallturn/core/usage/UsageSchedule.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/usage/UsageSchedule.java
@@ -4,26 +4,30 @@
 import java.util.OptionalLong;
 
 /**
- * Which window is to be reported next, and when. A window is reported a while after its end, once
- * what other nodes have counted has been told; one whose report is long overdue is left out.
+ * Decides which window is reported next, and when. A window is reported some time after its end,
+ * when the counts of the other nodes have arrived. A window is skipped once its report is overdue
+ * by the length of a window.
  *
- * <p>Invariant: windows come in order, and one that was done never again. One thread calls.
+ * <p>Invariant: windows are reported in order, and never again once done. Only one thread may call.
  */
 public final class UsageSchedule {
 
   /**
-   * After the end of a window: requests that ended at once were counted by then, each node has told
-   * its sums twice more, and enough time is left for another node to take over, which takes 6 s.
+   * Delay from the end of a window to its report. In this time, requests that ended at once are
+   * counted and each node publishes its sums twice more. The delay leaves enough time for another
+   * node to take over the reporting, which takes 6 s.
    */
-  private static final Duration SETTLE = Duration.ofMillis(2_600);
+  private static final Duration SETTLE_DELAY = Duration.ofMillis(2_600);
 
   private final UsageWindows windows;
   private long next;
 
   /**
-   * A schedule that begins with the process.
+   * Creates the schedule at the start of the process.
    *
-   * @param firstStart whether no window before the present one can hold anything
+   * @param firstStart whether the whole system starts for the first time, so that no window before
+   *     the present one can contain counts
+   * @param unixMillis present Unix time in ms
    */
   public UsageSchedule(UsageWindows windows, boolean firstStart, long unixMillis) {
     this.windows = windows;
@@ -33,16 +37,16 @@
             : windows.at(unixMillis - windows.late().toMillis()) - 1;
   }
 
-  /** The window to be reported now, if any; the same until it is done. */
+  /** Returns the window to report now, if any; the same one until it is done or skipped. */
   public OptionalLong due(long unixMillis) {
     while (unixMillis >= windows.dueMillis(next) + windows.length().toMillis()) {
       next++;
     }
-    boolean settled = unixMillis >= windows.endMillis(next) + SETTLE.toMillis();
+    boolean settled = unixMillis >= windows.endMillis(next) + SETTLE_DELAY.toMillis();
     return settled ? OptionalLong.of(next) : OptionalLong.empty();
   }
 
-  /** A window was reported, by this node or another. */
+  /** Marks a window as reported, by this node or another. */
   public void onDone(long window) {
     next = Math.max(next, window + 1);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/usage/UsageWindows.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/usage/UsageWindows.java
@@ -3,31 +3,31 @@
 import java.time.Duration;
 
 /**
- * Windows of Unix time, numbered from its beginning.
+ * Division of Unix time into windows of equal length, numbered from 0 at its epoch.
  *
- * @param length how long each lasts
- * @param late how long after its end the report of a window is due
+ * @param length length of a window
+ * @param late time from the end of a window until its report is due
  */
 public record UsageWindows(Duration length, Duration late) {
 
-  /** Rejects windows without a length. */
+  /** Rejects a length of less than 1 ms. */
   public UsageWindows {
     if (length.toMillis() <= 0) {
       throw new IllegalArgumentException("a usage window must last some time, but has " + length);
     }
   }
 
-  /** The window of a time. */
+  /** Returns the number of the window that contains a Unix time in ms. */
   public long at(long unixMillis) {
     return Math.floorDiv(unixMillis, length.toMillis());
   }
 
-  /** Unix time in ms at which a window has ended. */
+  /** Returns the Unix time in ms at which a window ends. */
   public long endMillis(long window) {
     return (window + 1) * length.toMillis();
   }
 
-  /** Unix time in ms until which its report is in time. */
+  /** Returns the Unix time in ms by which the report of a window is due. */
   public long dueMillis(long window) {
     return endMillis(window) + late.toMillis();
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/usage/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/usage/package-info.java
@@ -1,5 +1,6 @@
 /**
- * How many requests of each tenant began to run in each window of time, counted by all nodes and
- * reported once by one of them. Pure; the ports to the store and the platform's API are here.
+ * Usage accounting: the number of requests of each tenant that began to run in each time window,
+ * counted by all nodes and reported once by one of them. The code does no I/O; this package also
+ * has the ports to the store and to the platform's API.
  */
 package org.fallturn.core.usage;
--- a/fallturn-core/src/test/java/org/fallturn/core/request/ForwardStateMachineTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/request/ForwardStateMachineTest.java
@@ -11,7 +11,11 @@
 import org.fallturn.core.request.ForwardStateMachine.TryAnother;
 import org.junit.jupiter.api.Test;
 
-/** Any sequence of failures of back ends. */
+/**
+ * Runs the state machine against random sequences of back end failures. Guards against a
+ * non-repeatable request that is sent again after a back end may have run it, and against an error
+ * that says not-run although a back end may have seen the request.
+ */
 class ForwardStateMachineTest {
 
   private static final int MAX_ATTEMPTS = 4;
@@ -39,7 +43,7 @@
   }
 
   @Test
-  void aDeadlineWhileWaitingForABackEndIsNotCalledNotRun() {
+  void aDeadlineThatPassesWhileABackEndWorksHasAnUnknownOutcome() {
     ForwardStateMachine machine = new ForwardStateMachine(true, MAX_ATTEMPTS);
     assertThat(machine.onDeadline(false).kind().outcome()).isEqualTo(Outcome.NOT_RUN);
     assertThat(machine.onDeadline(true).kind().outcome()).isEqualTo(Outcome.OUTCOME_UNKNOWN);
--- a/fallturn-core/src/test/java/org/fallturn/core/request/RequestStateMachineTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/request/RequestStateMachineTest.java
@@ -30,7 +30,12 @@
 import org.fallturn.core.port.engine.TokenChunk.Finish;
 import org.junit.jupiter.api.Test;
 
-/** Random histories of engines that crash, stall, refuse, cross, double and lose chunks. */
+/**
+ * Runs the state machine against engines that at random crash, stall, refuse work, and send chunks
+ * of other requests, duplicate chunks and streams with gaps. Guards against answers with lost or
+ * repeated tokens, requests sent again although an engine may have run them, and errors that
+ * wrongly say not-run.
+ */
 class RequestStateMachineTest {
 
   private static final RequestId ID = new RequestId("r-1");
@@ -55,19 +60,19 @@
         5);
   }
 
-  /** One request against engines driven by a seed. */
+  /** One request, with engines whose behaviour is drawn from a seeded random generator. */
   private static final class History {
     private final Random random;
     private final RequestStateMachine machine;
     private final List<String> delivered = new ArrayList<>();
     private final List<RequestAction> endings = new ArrayList<>();
-    private final Set<EngineId> triedAndFailed = new HashSet<>();
+    private final Set<EngineId> excludedEngines = new HashSet<>();
     private final int answerLength;
     private boolean engineSaw;
     private int generatesThatMayHaveRun;
     private RequestAction.SendGenerate generate;
     private RequestAction.SendPrefill prefill;
-    private int asking = -1;
+    private int placementAttempt = -1;
     private boolean waiting;
     private int placements;
     private int sent;
@@ -101,7 +106,7 @@
       if (random.nextInt(8) == 0 && machine.attempt() > 0) {
         return late();
       }
-      if (asking >= 0) {
+      if (placementAttempt >= 0) {
         return placement();
       }
       if (waiting) {
@@ -120,8 +125,8 @@
     }
 
     private RequestEvent placement() {
-      int attempt = asking;
-      asking = -1;
+      int attempt = placementAttempt;
+      placementAttempt = -1;
       if (random.nextInt(10) == 0) {
         return new RequestEvent.PlacementAnswered(
             attempt, new PlacementAnswer.Refused(ErrorKind.NO_CAPACITY, "full", 500));
@@ -200,9 +205,9 @@
     private void apply(List<RequestAction> actions) {
       for (RequestAction action : actions) {
         if (action instanceof RequestAction.AskPlacement ask) {
-          asking = ask.request().attempt();
+          placementAttempt = ask.request().attempt();
           prefill = null;
-          triedAndFailed.addAll(ask.request().excluded());
+          excludedEngines.addAll(ask.request().excluded());
         } else if (action instanceof RequestAction.ScheduleRetry) {
           waiting = true;
         } else if (action instanceof RequestAction.SendPrefill send) {
@@ -212,7 +217,7 @@
           generatesThatMayHaveRun++;
           sent = send.request().startOffset();
           assertThat(sent).isEqualTo(delivered.size());
-          assertThat(triedAndFailed).doesNotContain(send.target().engine());
+          assertThat(excludedEngines).doesNotContain(send.target().engine());
         } else if (action instanceof RequestAction.Deliver deliver) {
           delivered.addAll(deliver.tokens());
         } else if (action instanceof RequestAction.Complete
@@ -245,7 +250,7 @@
   }
 
   @Test
-  void aPlacementThatComesTooLateIsGivenBack() {
+  void aPlacementThatArrivesAfterTheEndIsReportedAsAbandoned() {
     RequestStateMachine machine = new RequestStateMachine(spec(true), DEADLINE_NANOS);
     machine.start(0);
     machine.on(new RequestEvent.CallerGone(), 1);
@@ -297,7 +302,7 @@
   }
 
   @Test
-  void workBegunWaitsForAPlaceAndMayReturnToTheEngineThatFailed() {
+  void aRequestThatHasBegunRetriesPlacementAndMayReturnToTheFailedEngine() {
     RequestStateMachine machine = new RequestStateMachine(spec(true), DEADLINE_NANOS);
     machine.start(0);
     machine.on(placedOn("d1", 0), 1);
@@ -305,7 +310,7 @@
         new RequestEvent.ChunkReceived(0, new TokenChunk(ID, 0, List.of("t0"), Finish.NONE)), 2);
     machine.on(new RequestEvent.DecodeEnded(0), 3);
 
-    List<RequestAction> refused = machine.on(noRoom(1), 4);
+    List<RequestAction> refused = machine.on(noCapacity(1), 4);
     List<RequestAction> again = machine.on(new RequestEvent.RetryDue(), 5);
 
     assertThat(refused).hasOnlyElementsOfType(RequestAction.ScheduleRetry.class).hasSize(1);
@@ -317,11 +322,11 @@
   }
 
   @Test
-  void workNotBegunIsRefusedAtOnceWhenThereIsNoPlace() {
+  void aRequestThatHasNotBegunFailsAtOnceWhenThereIsNoCapacity() {
     RequestStateMachine machine = new RequestStateMachine(spec(true), DEADLINE_NANOS);
     machine.start(0);
 
-    assertThat(machine.on(noRoom(0), 1))
+    assertThat(machine.on(noCapacity(0), 1))
         .singleElement()
         .isInstanceOfSatisfying(
             RequestAction.Fail.class,
@@ -338,7 +343,7 @@
             History.engine(engine)));
   }
 
-  private static RequestEvent noRoom(int attempt) {
+  private static RequestEvent noCapacity(int attempt) {
     return new RequestEvent.PlacementAnswered(
         attempt, new PlacementAnswer.Refused(ErrorKind.NO_CAPACITY, "full", 500));
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/usage/UsageLedgerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/usage/UsageLedgerTest.java
@@ -12,6 +12,10 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against wrong sums of requests when the messages between nodes are lost, repeated or out
+ * of order, when a node restarts, and when a node's clock is wrong.
+ */
 class UsageLedgerTest {
 
   private static final UsageWindows WINDOWS =
@@ -19,23 +23,23 @@
   private static final long NOW = 1_790_000_001_000L;
   private static final long WINDOW = WINDOWS.at(NOW);
 
-  private static UsageCounts news(String node, long incarnation, int bakery) {
+  private static UsageCounts counts(String node, long incarnation, int bakery) {
     return new UsageCounts(node, incarnation, Map.of(WINDOW, Map.of("bakery", bakery)));
   }
 
   @Test
-  void processesOfOneNodeAddUpAndOldNewsOfOneDoNotCount() {
+  void incarnationsOfANodeAddUpAndALowerSumOfOneIsIgnored() {
     UsageLedger ledger = new UsageLedger(WINDOWS);
-    ledger.onPeerReport(news("a", 1, 4), NOW);
-    ledger.onPeerReport(news("a", 1, 2), NOW);
-    ledger.onPeerReport(news("a", 2, 1), NOW);
+    ledger.onPeerReport(counts("a", 1, 4), NOW);
+    ledger.onPeerReport(counts("a", 1, 2), NOW);
+    ledger.onPeerReport(counts("a", 2, 1), NOW);
     ledger.count("b", 7, "mill", NOW);
     assertThat(ledger.total(WINDOW)).isEqualTo(Map.of("bakery", 5L, "mill", 1L));
     assertThat(ledger.ofProcess(WINDOW, "b", 7)).isEqualTo(Map.of("mill", 1));
   }
 
   @Test
-  void windowsOfAWrongClockAreNeitherTakenNorKept() {
+  void windowsFarFromThePresentAreNeitherAcceptedNorKept() {
     UsageLedger ledger = new UsageLedger(WINDOWS);
     ledger.onPeerReport(new UsageCounts("a", 1, Map.of(WINDOW + 9, Map.of("bakery", 1))), NOW);
     assertThat(ledger.total(WINDOW + 9)).isEmpty();
@@ -44,24 +48,24 @@
     assertThat(ledger.total(WINDOW)).isEmpty();
   }
 
-  /** Sums as they grow, told in any order, twice or not at all but for the last. */
+  /** Each node's sums arrive in any order; all but the last may be lost or arrive twice. */
   @Property(tries = 200, seed = "20261203")
   void lostRepeatedAndLateNewsChangeNothing(@ForAll long seed) {
     Random random = new Random(seed);
-    List<UsageCounts> told = new ArrayList<>();
+    List<UsageCounts> messages = new ArrayList<>();
     long expected = 0;
     for (int node = 0; node < 5; node++) {
       int last = 1 + random.nextInt(40);
       expected += last;
       for (int sum = 1; sum < last; sum++) {
         int copies = random.nextInt(3);
-        told.addAll(Collections.nCopies(copies, news("node-" + node, 1, sum)));
+        messages.addAll(Collections.nCopies(copies, counts("node-" + node, 1, sum)));
       }
-      told.add(news("node-" + node, 1, last));
+      messages.add(counts("node-" + node, 1, last));
     }
-    Collections.shuffle(told, random);
+    Collections.shuffle(messages, random);
     UsageLedger ledger = new UsageLedger(WINDOWS);
-    told.forEach(one -> ledger.onPeerReport(one, NOW));
+    messages.forEach(one -> ledger.onPeerReport(one, NOW));
     assertThat(ledger.total(WINDOW)).isEqualTo(Map.of("bakery", expected));
   }
 }
--- a/fallturn-core/src/test/java/org/fallturn/core/usage/UsageScheduleTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/usage/UsageScheduleTest.java
@@ -5,6 +5,10 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against windows that are reported before all nodes' counts have arrived, reported twice,
+ * lost when a process restarts, or reported when long overdue.
+ */
 class UsageScheduleTest {
 
   private static final UsageWindows WINDOWS =
@@ -13,7 +17,7 @@
   private static final long FIRST = WINDOWS.at(START);
 
   @Test
-  void aWindowIsDueAWhileAfterItsEndAndOnlyOnce() {
+  void aWindowIsReportedSomeTimeAfterItsEndAndOnlyOnce() {
     UsageSchedule schedule = new UsageSchedule(WINDOWS, true, START);
     long end = WINDOWS.endMillis(FIRST);
     assertThat(schedule.due(end + 1_000)).isEmpty();
@@ -25,7 +29,7 @@
   }
 
   @Test
-  void aProcessThatStartsAgainLooksAtTheWindowsThatMayStillBeReported() {
+  void aRestartedProcessBeginsWithTheWindowsThatMayStillBeReported() {
     UsageSchedule schedule = new UsageSchedule(WINDOWS, false, START);
     long window = schedule.due(START).orElseThrow();
     assertThat(WINDOWS.dueMillis(window) + WINDOWS.length().toMillis()).isGreaterThan(START);
@@ -33,7 +37,7 @@
   }
 
   @Test
-  void aWindowThatIsLongOverdueIsLeftOut() {
+  void aWindowThatIsLongOverdueIsSkipped() {
     UsageSchedule schedule = new UsageSchedule(WINDOWS, true, START);
     long later = WINDOWS.dueMillis(FIRST) + 60_000;
     assertThat(schedule.due(later).orElseThrow()).isGreaterThan(FIRST + 9);
