--- a/fallturn-core/src/main/java/org/fallturn/core/usage/UsageLedger.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/usage/UsageLedger.java
@@ -72,7 +72,8 @@
   public void onPeerReport(UsageCounts published, long unixMillis) {
     prune(unixMillis);
     Process process = new Process(published.node(), published.incarnation());
-    published.counts()
+    published
+        .counts()
         .forEach(
             (window, sums) -> {
               if (isNear(window, unixMillis)) {
