--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
@@ -51,7 +51,7 @@
   }
 
   /** What to do next. */
-  public FollowStep next(FollowSight sight, long nowNanos) {
+  public FollowStep next(FollowState sight, long nowNanos) {
     onSight(sight, nowNanos);
     if (askFirst) {
       askFirst = false;
@@ -71,7 +71,7 @@
         : FollowStep.watch(watchNanos(sight, nowNanos));
   }
 
-  private void onSight(FollowSight sight, long nowNanos) {
+  private void onSight(FollowState sight, long nowNanos) {
     heardSomebody |= !sight.order().alone();
     if (sight.known() && !begun) {
       begun = true;
@@ -80,7 +80,7 @@
   }
 
   /** While the store keeps a change from this node, the others are asked until one knows it. */
-  private FollowStep untilRetry(FollowSight sight, long nowNanos) {
+  private FollowStep untilRetry(FollowState sight, long nowNanos) {
     long left = retryAtNanos - nowNanos;
     if (!sight.known() || !isBehind(sight, nowNanos)) {
       return FollowStep.listen(left);
@@ -93,7 +93,7 @@
   }
 
   /** Whether other nodes tell this one all that it must know. */
-  private boolean relies(FollowSight sight, long nowNanos) {
+  private boolean relies(FollowState sight, long nowNanos) {
     WatchOrder order = sight.order();
     if (order.alone()) {
       return mayHearSoon(sight, nowNanos);
@@ -105,7 +105,7 @@
     return confirmed && !watches(order);
   }
 
-  private boolean othersConfirm(FollowSight sight) {
+  private boolean othersConfirm(FollowState sight) {
     return sight.sinceOthersNanos() < takeOverNanos(sight);
   }
 
@@ -115,12 +115,12 @@
   }
 
   /** Nodes that all start at once have read the store and are about to hear each other. */
-  private boolean mayHearSoon(FollowSight sight, long nowNanos) {
+  private boolean mayHearSoon(FollowState sight, long nowNanos) {
     boolean soon = nowNanos - begunNanos < bounds.confirmNanos() / 2;
     return soon && !heardSomebody && sight.order().hasSeeds();
   }
 
-  private FollowStep fromPeers(FollowSight sight, long nowNanos) {
+  private FollowStep fromPeers(FollowState sight, long nowNanos) {
     if (isBehind(sight, nowNanos) && !askedAll(sight)) {
       return askNext(sight);
     }
@@ -132,7 +132,7 @@
   }
 
   /** Those who should know first, and then whoever was heard, since the store may fail them all. */
-  private FollowStep askNext(FollowSight sight) {
+  private FollowStep askNext(FollowState sight) {
     if (tooLarge || askedInVain >= sight.order().askable().size()) {
       return FollowStep.askAny();
     }
@@ -148,7 +148,7 @@
     return twice ? ASK_RELAY_NANOS : 0;
   }
 
-  private boolean askedAll(FollowSight sight) {
+  private boolean askedAll(FollowState sight) {
     return askedInVain > sight.order().askable().size();
   }
 
@@ -156,17 +156,17 @@
     return order.rank() < bounds.watchers();
   }
 
-  private long takeOverNanos(FollowSight sight) {
+  private long takeOverNanos(FollowState sight) {
     return bounds.takeOverNanos(sight.order());
   }
 
   /** Whether another node has seen a change that this one does not know and the store may have. */
-  public boolean isBehind(FollowSight sight, long nowNanos) {
+  public boolean isBehind(FollowState sight, long nowNanos) {
     boolean holds = nowNanos - refutedAtNanos < bounds.longestWaitNanos();
     return sight.newest() > Math.max(sight.position(), holds ? refuted : 0);
   }
 
-  private long watchNanos(FollowSight sight, long nowNanos) {
+  private long watchNanos(FollowState sight, long nowNanos) {
     WatchOrder order = sight.order();
     if (order.alone()) {
       return bounds.longestWaitNanos();
@@ -186,7 +186,7 @@
    *
    * @param heldNanos how long it has run
    */
-  public boolean trusts(FollowSight sight, long heldNanos) {
+  public boolean trusts(FollowState sight, long heldNanos) {
     WatchOrder order = sight.order();
     boolean confirmed = !order.alone() && sight.ageNanos() < takeOverNanos(sight);
     return confirmed || heldNanos < bounds.silenceNanos(order);
@@ -204,7 +204,7 @@
    * @param told the newest change that had been told before the call
    * @param position the position reached by the answer, which may lag after history was lost
    */
-  public void onLooked(long told, long position, long nowNanos) {
+  public void onChangeChecked(long told, long position, long nowNanos) {
     if (told > position) {
       refuted = told;
       refutedAtNanos = nowNanos;
@@ -219,7 +219,7 @@
   }
 
   /** The store did not answer this node. */
-  public void onFailed(FollowSight sight, long nowNanos) {
+  public void onFailed(FollowState sight, long nowNanos) {
     failing = true;
     askFirst = !sight.known() || isBehind(sight, nowNanos);
     askedInVain = 0;
@@ -228,7 +228,7 @@
   }
 
   /** A served node tells all others, so that those that fail may call seldom. */
-  private long pauseNanos(FollowSight sight) {
+  private long pauseNanos(FollowState sight) {
     WatchOrder order = sight.order();
     if (order.alone() || order.nodes() <= bounds.watchers()) {
       return pauseNanos;
--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowSight.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowState.java
@@ -11,7 +11,7 @@
  * @param sinceOthersNanos time since another node last told that the store answered it
  * @param order this node's place among those that watch
  */
-public record FollowSight(
+public record FollowState(
     boolean known,
     boolean wholeDue,
     long position,
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/PeerMessage.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/PeerMessage.java
@@ -6,7 +6,7 @@
 import org.fallturn.core.dispatch.CacheListing;
 import org.fallturn.core.dispatch.LoadDigest;
 import org.fallturn.core.quarantine.CrashReport;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * One message between nodes. Immutable.
@@ -29,7 +29,7 @@
     List<CrashReport> crashes,
     List<KnownPeer> relays,
     Map<String, Long> tables,
-    Optional<UsageNews> usage,
+    Optional<UsageCounts> usage,
     boolean wantsListings) {
 
   /** A message that says nothing of usage. */
--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -18,7 +18,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.following.WatchOrder;
 import org.fallturn.core.membership.RendezvousHash;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * Says what this node tells whom, and takes what others tell. A node reports to one relay, which
@@ -302,7 +302,7 @@
   }
 
   /** The messages by which this node tells what it has counted. */
-  public List<OutgoingPeerMessage> usageMessages(UsageNews news) {
+  public List<OutgoingPeerMessage> usageMessages(UsageCounts news) {
     LoadDigest nothing =
         new LoadDigest(node, incarnation, ++sequence, 1, "", Map.of(), List.of(), Map.of());
     PeerMessage message =
--- a/fallturn-core/src/main/java/org/fallturn/core/request/RequestAction.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/RequestAction.java
@@ -24,7 +24,7 @@
    *
    * @param delayMillis the delay
    */
-  record WakeLater(long delayMillis) implements RequestAction {}
+  record ScheduleRetry(long delayMillis) implements RequestAction {}
 
   /**
    * Send the prompt to a prefill engine.
--- a/fallturn-core/src/main/java/org/fallturn/core/request/RequestEvent.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/RequestEvent.java
@@ -71,6 +71,6 @@
   /** The caller went away. */
   record CallerGone() implements RequestEvent {}
 
-  /** The delay of {@link RequestAction.WakeLater} is over. */
+  /** The delay of {@link RequestAction.ScheduleRetry} is over. */
   record RetryDue() implements RequestEvent {}
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/request/RequestStateMachine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/request/RequestStateMachine.java
@@ -183,7 +183,7 @@
     }
     phase = Phase.WAITING;
     retryAdviceMillis = retryAfterMillis;
-    return List.of(new RequestAction.WakeLater(PLACE_AGAIN_MILLIS));
+    return List.of(new RequestAction.ScheduleRetry(PLACE_AGAIN_MILLIS));
   }
 
   private List<RequestAction> onRetryDue(long nowNanos) {
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/ServingEngine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/ServingEngine.java
@@ -64,7 +64,7 @@
   }
 
   /** Whether something that says when it started is another incarnation. */
-  public boolean isNot(OptionalLong otherBornMillis) {
+  public boolean isOtherIncarnation(OptionalLong otherBornMillis) {
     return bornMillis.isPresent()
         && otherBornMillis.isPresent()
         && bornMillis.getAsLong() != otherBornMillis.getAsLong();
--- a/fallturn-core/src/main/java/org/fallturn/core/usage/UsageNews.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/usage/UsageCounts.java
@@ -9,10 +9,10 @@
  * @param incarnation rises with each start of the node's process
  * @param counts requests that began to run there, by window and tenant
  */
-public record UsageNews(String node, long incarnation, Map<Long, Map<String, Integer>> counts) {
+public record UsageCounts(String node, long incarnation, Map<Long, Map<String, Integer>> counts) {
 
   /** A private copy. */
-  public UsageNews {
+  public UsageCounts {
     counts = Map.copyOf(counts);
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/usage/UsageLedger.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/usage/UsageLedger.java
@@ -52,7 +52,7 @@
   }
 
   /** A process told what it has counted. */
-  public void onPeerReport(UsageNews news, long unixMillis) {
+  public void onPeerReport(UsageCounts news, long unixMillis) {
     prune(unixMillis);
     Process process = new Process(news.node(), news.incarnation());
     news.counts()
--- a/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
@@ -30,9 +30,9 @@
     return new WatchOrder(rank, 71, false, true, List.of(RELAY, RELAY));
   }
 
-  private static FollowSight sight(
+  private static FollowState sight(
       WatchOrder order, long newest, long sinceOwnNanos, long sinceOthersNanos) {
-    return new FollowSight(true, false, 10, newest, sinceOwnNanos, sinceOthersNanos, order);
+    return new FollowState(true, false, 10, newest, sinceOwnNanos, sinceOthersNanos, order);
   }
 
   private FollowStep next(WatchOrder order, long newest, long sinceOwn, long sinceOthers) {
@@ -95,7 +95,7 @@
   /** Each node that asks draws it over the same link, which once took five seconds for sixteen. */
   @Test
   void changeThatIsTooLargeForNodesIsReadFromTheStore() {
-    FollowSight told = sight(order(MEMBER), 12, NEVER, 0);
+    FollowState told = sight(order(MEMBER), 12, NEVER, 0);
     assertThat(plan.next(told, NOW).kind()).isEqualTo(Kind.ASK);
     plan.onTooLarge();
     assertThat(plan.next(told, NOW)).isEqualTo(FollowStep.watch(0));
@@ -113,10 +113,10 @@
     plan.onAsked(false);
     assertThat(next(order(MEMBER), 99, NEVER, 0).kind()).isEqualTo(Kind.WATCH);
     plan.onAnswered();
-    plan.onLooked(99, 14, NOW);
+    plan.onChangeChecked(99, 14, NOW);
     assertThat(next(order(MEMBER), 99, 0, 0).kind()).isEqualTo(Kind.LISTEN);
     assertThat(next(order(MEMBER), 100, 0, 0).kind()).isEqualTo(Kind.ASK);
-    FollowSight told = sight(order(MEMBER), 99, 0, 0);
+    FollowState told = sight(order(MEMBER), 99, 0, 0);
     assertThat(plan.next(told, NOW + BOUNDS.longestWaitNanos()).kind()).isEqualTo(Kind.ASK);
   }
 
@@ -144,7 +144,7 @@
 
   @Test
   void nodeThatTheStoreTurnsAwayAsksOthersAndCallsSeldom() {
-    FollowSight behind = sight(order(1), 12, NEVER, 0);
+    FollowState behind = sight(order(1), 12, NEVER, 0);
     plan.onFailed(behind, NOW);
     assertThat(plan.next(behind, NOW)).isEqualTo(FollowStep.askAny());
     plan.onAsked(true);
@@ -154,7 +154,7 @@
 
   @Test
   void nodeThatKnowsNothingTriesAgainSoon() {
-    FollowSight unknowing = new FollowSight(false, true, 0, 0, NEVER, 0, order(MEMBER));
+    FollowState unknowing = new FollowState(false, true, 0, 0, NEVER, 0, order(MEMBER));
     assertThat(plan.next(unknowing, NOW).kind()).isEqualTo(Kind.READ_WHOLE);
     plan.onFailed(unknowing, NOW);
     assertThat(plan.next(unknowing, NOW)).isEqualTo(FollowStep.askAny());
@@ -166,7 +166,7 @@
   /** Had it gone on to wait for the store, it would have stood still at what it knew. */
   @Test
   void nodeThatTheStoreTurnsAwayAsksUntilSomebodyKnows() {
-    FollowSight behind = sight(order(1), 12, NEVER, 0);
+    FollowState behind = sight(order(1), 12, NEVER, 0);
     plan.onFailed(behind, NOW);
     for (int round = 0; round < 2; round++) {
       for (int asked = 0; asked < 3; asked++) {
@@ -209,7 +209,7 @@
       FollowPlan own = new FollowPlan(BOUNDS);
       WatchOrder order = new WatchOrder(node, nodes, false, true, List.of(RELAY, RELAY));
       for (long now = 0; now < TimeUnit.SECONDS.toNanos(8); now += millis(10)) {
-        FollowSight seen = sight(order, 10, now, now);
+        FollowState seen = sight(order, 10, now, now);
         if (own.next(seen, now).kind().source() == FollowStep.Source.STORE) {
           calls++;
           own.onFailed(seen, now);
--- a/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/peers/FollowedFleet.java
@@ -10,7 +10,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.following.FollowBounds;
 import org.fallturn.core.following.FollowPlan;
-import org.fallturn.core.following.FollowSight;
+import org.fallturn.core.following.FollowState;
 import org.fallturn.core.following.FollowStep;
 import org.fallturn.core.peers.SimulatedFleet.Node;
 
@@ -89,7 +89,7 @@
     boolean killed;
     long position;
     private FollowStep step;
-    private FollowSight sight;
+    private FollowState sight;
     private long begunNanos;
     private long idleUntilNanos;
     private long answeredNanos = -1;
@@ -108,8 +108,8 @@
       fleet.kill(node);
     }
 
-    private FollowSight look(long now) {
-      return new FollowSight(
+    private FollowState look(long now) {
+      return new FollowState(
           position > 0,
           position == 0,
           position,
@@ -182,13 +182,13 @@
       answeredNanos = now;
       node.overlay.tables().onConfirmed(TABLE, fleet.millis());
       plan.onAnswered();
-      plan.onLooked(sight.newest(), position, now);
+      plan.onChangeChecked(sight.newest(), position, now);
       return true;
     }
 
     private boolean silent(long now) {
       long held = now - begunNanos;
-      FollowSight seen = look(now);
+      FollowState seen = look(now);
       if (held >= step.nanos() + TimeUnit.MILLISECONDS.toNanos(CALL_MILLIS)) {
         plan.onFailed(seen, now);
         return true;
--- a/fallturn-core/src/test/java/org/fallturn/core/request/RequestStateMachineTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/request/RequestStateMachineTest.java
@@ -203,7 +203,7 @@
           asking = ask.request().attempt();
           prefill = null;
           triedAndFailed.addAll(ask.request().excluded());
-        } else if (action instanceof RequestAction.WakeLater) {
+        } else if (action instanceof RequestAction.ScheduleRetry) {
           waiting = true;
         } else if (action instanceof RequestAction.SendPrefill send) {
           prefill = send;
@@ -308,7 +308,7 @@
     List<RequestAction> refused = machine.on(noRoom(1), 4);
     List<RequestAction> again = machine.on(new RequestEvent.RetryDue(), 5);
 
-    assertThat(refused).hasOnlyElementsOfType(RequestAction.WakeLater.class).hasSize(1);
+    assertThat(refused).hasOnlyElementsOfType(RequestAction.ScheduleRetry.class).hasSize(1);
     assertThat(again)
         .singleElement()
         .isInstanceOfSatisfying(
--- a/fallturn-core/src/test/java/org/fallturn/core/usage/UsageLedgerTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/usage/UsageLedgerTest.java
@@ -19,8 +19,8 @@
   private static final long NOW = 1_790_000_001_000L;
   private static final long WINDOW = WINDOWS.at(NOW);
 
-  private static UsageNews news(String node, long incarnation, int bakery) {
-    return new UsageNews(node, incarnation, Map.of(WINDOW, Map.of("bakery", bakery)));
+  private static UsageCounts news(String node, long incarnation, int bakery) {
+    return new UsageCounts(node, incarnation, Map.of(WINDOW, Map.of("bakery", bakery)));
   }
 
   @Test
@@ -37,7 +37,7 @@
   @Test
   void windowsOfAWrongClockAreNeitherTakenNorKept() {
     UsageLedger ledger = new UsageLedger(WINDOWS);
-    ledger.onPeerReport(new UsageNews("a", 1, Map.of(WINDOW + 9, Map.of("bakery", 1))), NOW);
+    ledger.onPeerReport(new UsageCounts("a", 1, Map.of(WINDOW + 9, Map.of("bakery", 1))), NOW);
     assertThat(ledger.total(WINDOW + 9)).isEmpty();
     ledger.count("b", 1, "bakery", NOW);
     ledger.count("b", 1, "bakery", NOW + 60_000);
@@ -48,7 +48,7 @@
   @Property(tries = 200, seed = "20261203")
   void lostRepeatedAndLateNewsChangeNothing(@ForAll long seed) {
     Random random = new Random(seed);
-    List<UsageNews> told = new ArrayList<>();
+    List<UsageCounts> told = new ArrayList<>();
     long expected = 0;
     for (int node = 0; node < 5; node++) {
       int last = 1 + random.nextInt(40);
--- a/fallturn-node/src/main/java/org/fallturn/node/callers/ModelExchange.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/callers/ModelExchange.java
@@ -122,7 +122,7 @@
       deliver(deliver);
     } else if (action instanceof RequestAction.AskPlacement ask) {
       askPlacement(ask.request());
-    } else if (action instanceof RequestAction.WakeLater wake) {
+    } else if (action instanceof RequestAction.ScheduleRetry wake) {
       wakeAtNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(wake.delayMillis());
     } else if (action instanceof RequestAction.SendPrefill send) {
       sendPrefill(send);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineProbe.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/EngineProbe.java
@@ -56,7 +56,7 @@
   /** An engine that starts again under its id answers as itself, but for the time of its start. */
   private boolean hasStartedAgain(ServingEngine engine, byte[] body) {
     try {
-      return engine.isNot(engines.protocol().readReport(body).bornMillis());
+      return engine.isOtherIncarnation(engines.protocol().readReport(body).bornMillis());
     } catch (MalformedMessageException e) {
       LOG.warn("engines: The report of {} is not readable: {}.", engine.id(), e.getMessage());
       return false;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerCodec.java
@@ -29,7 +29,7 @@
 import org.fallturn.core.peers.PeerInfo;
 import org.fallturn.core.peers.PeerMessage;
 import org.fallturn.core.quarantine.CrashReport;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 import org.fallturn.node.json.MalformedMessageException;
 
 /**
@@ -199,7 +199,7 @@
     out.writeEndObject();
   }
 
-  private static void writeUsage(JsonGenerator out, UsageNews usage) throws IOException {
+  private static void writeUsage(JsonGenerator out, UsageCounts usage) throws IOException {
     out.writeObjectFieldStart("u");
     for (Map.Entry<Long, Map<String, Integer>> window : usage.counts().entrySet()) {
       out.writeObjectFieldStart(window.getKey().toString());
@@ -526,7 +526,7 @@
           relays,
           tables,
           kind == MessageKind.USAGE
-              ? Optional.of(new UsageNews(load.node(), load.incarnation(), usage))
+              ? Optional.of(new UsageCounts(load.node(), load.incarnation(), usage))
               : Optional.empty(),
           wantsListings);
     }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerMessenger.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/PeerMessenger.java
@@ -10,7 +10,7 @@
 import org.fallturn.core.peers.OwnLoad;
 import org.fallturn.core.peers.PeerMessage;
 import org.fallturn.core.peers.RelayOverlay;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * The dispatch duty's part in what nodes sendDue each other: passes on what is heard to whoever
@@ -90,7 +90,7 @@
   }
 
   /** Tells the nodes that collect what this one has counted. */
-  void sendUsage(UsageNews news) {
+  void sendUsage(UsageCounts news) {
     sender.accept(overlay.usageMessages(news));
   }
 
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RowFollower.java
@@ -7,7 +7,7 @@
 import org.fallturn.core.domain.NetworkAddress;
 import org.fallturn.core.following.FollowBounds;
 import org.fallturn.core.following.FollowPlan;
-import org.fallturn.core.following.FollowSight;
+import org.fallturn.core.following.FollowState;
 import org.fallturn.core.following.FollowStep;
 import org.fallturn.core.following.WatchOrder;
 import org.fallturn.core.port.feed.FeedAnswer;
@@ -162,7 +162,7 @@
     if (owesRows) {
       deliver();
     }
-    FollowSight sight = sight();
+    FollowState sight = sight();
     FollowStep step = plan.next(sight, System.nanoTime());
     onSource(step);
     switch (step.kind()) {
@@ -173,13 +173,13 @@
     }
   }
 
-  private FollowSight sight() {
+  private FollowState sight() {
     long now = System.nanoTime();
     WatchOrder order = others.order();
     tracker.setToldByOthers(!order.alone());
     long newest = others.newestChange();
-    FollowSight sight =
-        new FollowSight(
+    FollowState sight =
+        new FollowState(
             tracker.known(),
             tracker.shouldReadWhole(now),
             tracker.position(),
@@ -209,12 +209,12 @@
   }
 
   /** A bell that rings for a change which was known before would wake the thread in vain. */
-  private void listen(FollowStep step, FollowSight sight) throws InterruptedException {
+  private void listen(FollowStep step, FollowState sight) throws InterruptedException {
     long millis = Math.max(1, TimeUnit.NANOSECONDS.toMillis(step.nanos()));
     times.pause().await(millis, () -> others.newestChange() > sight.newest());
   }
 
-  private void ask(FollowStep step, FollowSight sight) throws InterruptedException {
+  private void ask(FollowStep step, FollowState sight) throws InterruptedException {
     times.pause().await(TimeUnit.NANOSECONDS.toMillis(step.nanos()), () -> false);
     long before = tracker.position();
     try {
@@ -243,7 +243,7 @@
     }
   }
 
-  private void watch(FollowStep step, FollowSight sight)
+  private void watch(FollowStep step, FollowState sight)
       throws StoreException, InterruptedException {
     long begun = System.nanoTime();
     boolean[] ended = new boolean[1];
@@ -328,12 +328,12 @@
 
   /** Whether the present watch can be relied on, though the store may have gone silent. */
   private boolean isTrusted(long heldNanos) {
-    FollowSight sight = sight();
+    FollowState sight = sight();
     return !isBehind(sight) && plan.trusts(sight, heldNanos);
   }
 
   /** Whether others saw a change some time ago that the watch has not brought. */
-  private boolean isBehind(FollowSight sight) {
+  private boolean isBehind(FollowState sight) {
     if (!plan.isBehind(sight, System.nanoTime())) {
       behind = false;
       return false;
@@ -345,7 +345,7 @@
     return System.nanoTime() - behindSinceNanos >= BEHIND_NANOS;
   }
 
-  private void readWhole(FollowSight sight) throws StoreException, InterruptedException {
+  private void readWhole(FollowState sight) throws StoreException, InterruptedException {
     counts.count(FollowCounts.Kind.STORE_WHOLE);
     FeedAnswer answer = feed.snapshot();
     boolean stale = answer.version() < tracker.position();
@@ -362,13 +362,13 @@
   }
 
   /** PeerReports are told of the changes first: to confirm is to say that there are no more. */
-  private void onReached(FeedAnswer answer, FollowSight before) {
+  private void onReached(FeedAnswer answer, FollowState before) {
     behind = false;
     confirmedNanos = System.nanoTime();
     confirmed = true;
     plan.onAnswered();
     if (before.newest() > before.position()) {
-      plan.onLooked(before.newest(), tracker.position(), confirmedNanos);
+      plan.onChangeChecked(before.newest(), tracker.position(), confirmedNanos);
     }
     if (answer.storeMillis() > 0) {
       others.onConfirmed(answer.storeMillis());
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/RunCounter.java
@@ -1,7 +1,7 @@
 package org.fallturn.node.gateway;
 
 import org.fallturn.core.dispatch.AttemptOutcome;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /** Hears of requests that begin to run, each of which counts once. On the dispatch thread. */
 interface RunCounter {
@@ -19,7 +19,7 @@
         public void onEnded(Exchange exchange, long nowNanos) {}
 
         @Override
-        public void onPeerReport(UsageNews news) {}
+        public void onPeerReport(UsageCounts news) {}
 
         @Override
         public void onReported(long window) {}
@@ -38,7 +38,7 @@
   void onEnded(Exchange exchange, long nowNanos);
 
   /** Another process told what it has counted. */
-  void onPeerReport(UsageNews news);
+  void onPeerReport(UsageCounts news);
 
   /** The report of a window was taken, by this node or another. */
   void onReported(long window);
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/StageDuty.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/StageDuty.java
@@ -62,7 +62,7 @@
         orders
             .report(change.engine())
             .filter(state -> !state.busy() && state.stage() != change.stage())
-            .filter(state -> !change.engine().isNot(state.bornMillis()));
+            .filter(state -> !change.engine().isOtherIncarnation(state.bornMillis()));
     if (report.isEmpty() || !duty.lease().held()) {
       abandon(change, report.isEmpty() ? "the engine is not fit" : "the lease has ended");
       return;
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageFleet.java
@@ -2,7 +2,7 @@
 
 import org.fallturn.core.dispatch.Dispatcher;
 import org.fallturn.core.peers.RelayOverlay;
-import org.fallturn.core.usage.UsageNews;
+import org.fallturn.core.usage.UsageCounts;
 
 /**
  * The fleet as the tally of requests sees it. Only the dispatch thread calls.
@@ -28,7 +28,7 @@
   }
 
   @Override
-  public void tell(UsageNews news) {
+  public void tell(UsageCounts news) {
     messenger.sendUsage(news);
   }
 }
--- a/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
+++ b/fallturn-node/src/main/java/org/fallturn/node/gateway/UsageTally.java
@@ -8,8 +8,8 @@
 import org.fallturn.core.clock.WallClock;
 import org.fallturn.core.dispatch.AttemptOutcome;
 import org.fallturn.core.dispatch.RequestProgress;
+import org.fallturn.core.usage.UsageCounts;
 import org.fallturn.core.usage.UsageLedger;
-import org.fallturn.core.usage.UsageNews;
 import org.fallturn.core.usage.UsageReport;
 import org.fallturn.core.usage.UsageSchedule;
 import org.fallturn.core.usage.UsageWindows;
@@ -58,7 +58,7 @@
     boolean leads(long nowNanos);
 
     /** Tells the nodes that collect. */
-    void tell(UsageNews news);
+    void tell(UsageCounts news);
   }
 
   /**
@@ -132,7 +132,7 @@
   }
 
   @Override
-  public void onPeerReport(UsageNews news) {
+  public void onPeerReport(UsageCounts news) {
     ledger.onPeerReport(news, clock.unixMillis());
   }
 
@@ -176,7 +176,7 @@
       }
     }
     if (!sums.isEmpty()) {
-      fleet.tell(new UsageNews(fleet.node(), fleet.incarnation(), sums));
+      fleet.tell(new UsageCounts(fleet.node(), fleet.incarnation(), sums));
     }
   }
 }
