--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
@@ -5,249 +5,290 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * Decides whom to ask for the rows of a table. Were all nodes to watch the store, each change would
- * end the watch of each, and a store that is down would be called by all of them: calls grow with
- * changes times nodes. So a few watch; the others are told of the newest change, and that there is
- * none, and ask each other for the rows.
+ * Decides whether a node gets the changes of a replicated table from the store or from other nodes.
  *
- * <p>Invariants: a node asks the store itself once nobody has told for the trusted time that the
- * store answered, so that what is in force depends on no peer; an announced change that no peer can
- * tell is looked for in the store, and not again for a while. A confirmation counts only when it is
- * newer than all before it, so that a node that repeats an old one keeps nobody from the store.
- * Only the thread that follows the table calls.
+ * <p>If all nodes watched the store (a long poll for changes), each change would end the watch of
+ * each node, and all of them would call a store that is down: the number of calls would grow with
+ * changes times nodes. So only a few nodes watch. They announce to the others the newest change, or
+ * confirm that there is none, and the others ask their peers for the rows.
+ *
+ * <p>Invariants: a node asks the store itself once no node has confirmed for the trusted time that
+ * the store answered, so that a fresh copy of the table depends on no peer. A node looks in the
+ * store for an announced change that no peer can supply, and then not again for a while. A
+ * confirmation counts only when it is newer than all before it, so that a node that repeats an old
+ * one does not keep others from asking the store.
+ *
+ * <p>Not thread-safe: only the thread that follows the table calls it.
  */
 public final class FollowPlan {
 
   private static final long FIRST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
   private static final long LONGEST_PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(800);
 
-  /** Requests are refused while nothing is known, so that asking again is worth its price. */
-  private static final long PAUSE_UNKNOWING_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  /** Short, since the node refuses requests until it has read the table for the first time. */
+  private static final long PAUSE_WITHOUT_TABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-  /** A relay tells of a change before it has the rows itself, which are one question away. */
+  /**
+   * Delay before a relay is asked for the first time: it announces a change before it has the rows,
+   * which it must first ask another node for.
+   */
   private static final long ASK_RELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
+  /** Delay before the same node is asked for the second time. */
   private static final long ASK_AGAIN_NANOS = TimeUnit.MILLISECONDS.toNanos(60);
 
-  /** The longest that the store holds a watch. */
+  /** The longest time that the store holds a watch open. */
   private static final long LONGEST_WATCH_NANOS = TimeUnit.SECONDS.toNanos(30);
 
   private final FollowBounds bounds;
   private long pauseNanos = FIRST_PAUSE_NANOS;
   private boolean failing;
-  private boolean askFirst;
+  private boolean askPeersFirst;
   private long retryAtNanos;
-  private int askedInVain;
+  private int failedAsks;
   private boolean tooLarge;
-  private long refuted;
-  private long refutedAtNanos;
-  private boolean heardSomebody;
-  private boolean begun;
-  private long begunNanos;
+  private long missingChange;
+  private long missingSinceNanos;
+  private boolean hasHeardPeer;
+  private boolean hasTable;
+  private long hasTableSinceNanos;
 
-  /** A plan for one table. */
+  /** Creates a plan for one table. */
   public FollowPlan(FollowBounds bounds) {
     this.bounds = bounds;
   }
 
-  /** What to do next. */
-  public FollowStep next(FollowState sight, long nowNanos) {
-    onSight(sight, nowNanos);
-    if (askFirst) {
-      askFirst = false;
+  /**
+   * Returns what the follower of the table does next.
+   *
+   * @param state what the node knows now
+   * @param nowNanos the present time
+   */
+  public FollowStep next(FollowState state, long nowNanos) {
+    observe(state, nowNanos);
+    if (askPeersFirst) {
+      askPeersFirst = false;
       return FollowStep.askAny();
     }
     if (failing && nowNanos - retryAtNanos < 0) {
-      return untilRetry(sight, nowNanos);
+      return untilRetry(state, nowNanos);
     }
-    if (!sight.known()) {
+    if (!state.known()) {
       return FollowStep.readWhole();
     }
-    if (relies(sight, nowNanos)) {
-      return fromPeers(sight, nowNanos);
+    if (reliesOnPeers(state, nowNanos)) {
+      return fromPeers(state, nowNanos);
     }
-    return sight.wholeDue()
+    return state.wholeDue()
         ? FollowStep.readWhole()
-        : FollowStep.watch(watchNanos(sight, nowNanos));
+        : FollowStep.watch(watchNanos(state, nowNanos));
   }
 
-  private void onSight(FollowState sight, long nowNanos) {
-    heardSomebody |= !sight.order().alone();
-    if (sight.known() && !begun) {
-      begun = true;
-      begunNanos = nowNanos;
+  private void observe(FollowState state, long nowNanos) {
+    hasHeardPeer |= !state.order().alone();
+    if (state.known() && !hasTable) {
+      hasTable = true;
+      hasTableSinceNanos = nowNanos;
     }
   }
 
-  /** While the store keeps a change from this node, the others are asked until one knows it. */
-  private FollowStep untilRetry(FollowState sight, long nowNanos) {
+  /**
+   * Returns the step while the store does not answer this node: when an announced change is
+   * missing, the node asks its peers in turn until one has it.
+   */
+  private FollowStep untilRetry(FollowState state, long nowNanos) {
     long left = retryAtNanos - nowNanos;
-    if (!sight.known() || !isBehind(sight, nowNanos)) {
+    if (!state.known() || !isBehind(state, nowNanos)) {
       return FollowStep.listen(left);
     }
-    if (!askedAll(sight)) {
-      return askNext(sight);
+    if (!askedAll(state)) {
+      return askNext(state);
     }
-    askedInVain = 0;
+    failedAsks = 0;
     return FollowStep.listen(Math.min(left, FIRST_PAUSE_NANOS));
   }
 
-  /** Whether other nodes tell this one all that it must know. */
-  private boolean relies(FollowState sight, long nowNanos) {
-    WatchOrder order = sight.order();
+  /** Returns whether the node can get all changes from its peers and need not call the store. */
+  private boolean reliesOnPeers(FollowState state, long nowNanos) {
+    WatchOrder order = state.order();
     if (order.alone()) {
-      return mayHearSoon(sight, nowNanos);
+      return mayHearSoon(state, nowNanos);
     }
-    if (isBehind(sight, nowNanos)) {
-      return !tooLarge && !askedAll(sight);
+    if (isBehind(state, nowNanos)) {
+      return !tooLarge && !askedAll(state);
     }
-    boolean confirmed = othersConfirm(sight) || sight.sinceOwnNanos() < settleNanos();
+    boolean confirmed = othersConfirm(state) || state.sinceOwnNanos() < settleNanos();
     return confirmed && !watches(order);
   }
 
-  private boolean othersConfirm(FollowState sight) {
-    return sight.sinceOthersNanos() < takeOverNanos(sight);
+  private boolean othersConfirm(FollowState state) {
+    return state.sinceOthersNanos() < takeOverNanos(state);
   }
 
-  /** Of several nodes that took over at once, one goes on: the others hear of it in this time. */
+  /**
+   * How long a node that has taken over waits for a confirmation of another: of several nodes that
+   * took over at once, one goes on watching, and the others hear of it in this time.
+   */
   private long settleNanos() {
     return bounds.confirmNanos() / 4;
   }
 
-  /** Nodes that all start at once have read the store and are about to hear each other. */
-  private boolean mayHearSoon(FollowState sight, long nowNanos) {
-    boolean soon = nowNanos - begunNanos < bounds.confirmNanos() / 2;
-    return soon && !heardSomebody && sight.order().hasSeeds();
+  /**
+   * Returns whether the node should wait for its peers before it watches: nodes that all start at
+   * once have read the store and are about to hear each other.
+   */
+  private boolean mayHearSoon(FollowState state, long nowNanos) {
+    boolean soon = nowNanos - hasTableSinceNanos < bounds.confirmNanos() / 2;
+    return soon && !hasHeardPeer && state.order().hasSeeds();
   }
 
-  private FollowStep fromPeers(FollowState sight, long nowNanos) {
-    if (isBehind(sight, nowNanos) && !askedAll(sight)) {
-      return askNext(sight);
+  private FollowStep fromPeers(FollowState state, long nowNanos) {
+    if (isBehind(state, nowNanos) && !askedAll(state)) {
+      return askNext(state);
     }
     long left =
-        othersConfirm(sight)
-            ? takeOverNanos(sight) - sight.sinceOthersNanos()
-            : settleNanos() - sight.sinceOwnNanos();
+        othersConfirm(state)
+            ? takeOverNanos(state) - state.sinceOthersNanos()
+            : settleNanos() - state.sinceOwnNanos();
     return FollowStep.listen(Math.min(left, bounds.confirmNanos() / 2));
   }
 
-  /** Those who should know first, and then whoever was heard, since the store may fail them all. */
-  private FollowStep askNext(FollowState sight) {
-    if (tooLarge || askedInVain >= sight.order().askable().size()) {
+  /**
+   * Asks the nodes that should have the change first, then any node that was heard, since the store
+   * may answer none of the former.
+   */
+  private FollowStep askNext(FollowState state) {
+    if (tooLarge || failedAsks >= state.order().askable().size()) {
       return FollowStep.askAny();
     }
-    return FollowStep.ask(askedInVain, askAfterNanos(sight.order().askable()));
+    return FollowStep.ask(failedAsks, askAfterNanos(state.order().askable()));
   }
 
   private long askAfterNanos(List<NetworkAddress> askable) {
-    NetworkAddress asked = askable.get(askedInVain);
-    if (askedInVain > 0 && askable.get(askedInVain - 1).equals(asked)) {
+    NetworkAddress asked = askable.get(failedAsks);
+    if (failedAsks > 0 && askable.get(failedAsks - 1).equals(asked)) {
       return ASK_AGAIN_NANOS;
     }
-    boolean twice = askable.lastIndexOf(asked) > askedInVain;
+    boolean twice = askable.lastIndexOf(asked) > failedAsks;
     return twice ? ASK_RELAY_NANOS : 0;
   }
 
-  private boolean askedAll(FollowState sight) {
-    return askedInVain > sight.order().askable().size();
+  private boolean askedAll(FollowState state) {
+    return failedAsks > state.order().askable().size();
   }
 
   private boolean watches(WatchOrder order) {
     return order.rank() < bounds.watchers();
   }
 
-  private long takeOverNanos(FollowState sight) {
-    return bounds.takeOverNanos(sight.order());
+  private long takeOverNanos(FollowState state) {
+    return bounds.takeOverNanos(state.order());
   }
 
-  /** Whether another node has seen a change that this one does not know and the store may have. */
-  public boolean isBehind(FollowState sight, long nowNanos) {
-    boolean holds = nowNanos - refutedAtNanos < bounds.longestWaitNanos();
-    return sight.newest() > Math.max(sight.position(), holds ? refuted : 0);
+  /**
+   * Returns whether another node has announced a change that this one does not have. A change that
+   * was not in the store when this node looked does not count for a while.
+   */
+  public boolean isBehind(FollowState state, long nowNanos) {
+    boolean stillMissing = nowNanos - missingSinceNanos < bounds.longestWaitNanos();
+    return state.newest() > Math.max(state.position(), stillMissing ? missingChange : 0);
   }
 
-  private long watchNanos(FollowState sight, long nowNanos) {
-    WatchOrder order = sight.order();
+  private long watchNanos(FollowState state, long nowNanos) {
+    WatchOrder order = state.order();
     if (order.alone()) {
       return bounds.longestWaitNanos();
     }
-    boolean late = sight.ageNanos() >= takeOverNanos(sight);
-    if (late || isBehind(sight, nowNanos)) {
+    boolean stale = state.ageNanos() >= takeOverNanos(state);
+    if (stale || isBehind(state, nowNanos)) {
       return 0;
     }
-    if (order.rank() > 0 && othersConfirm(sight)) {
+    if (order.rank() > 0 && othersConfirm(state)) {
       return LONGEST_WATCH_NANOS;
     }
-    return Math.max(0, bounds.ownConfirmNanos(order) - sight.sinceOwnNanos());
+    return Math.max(0, bounds.ownConfirmNanos(order) - state.sinceOwnNanos());
   }
 
   /**
-   * Whether a watch that runs can still be relied on, though the store may have gone silent.
+   * Returns whether a running watch can still be relied on, or the store may have stopped answering
+   * it.
    *
-   * @param heldNanos how long it has run
+   * @param state what the node knows now
+   * @param heldNanos how long the watch has run
    */
-  public boolean trusts(FollowState sight, long heldNanos) {
-    WatchOrder order = sight.order();
-    boolean confirmed = !order.alone() && sight.ageNanos() < takeOverNanos(sight);
+  public boolean trusts(FollowState state, long heldNanos) {
+    WatchOrder order = state.order();
+    boolean confirmed = !order.alone() && state.ageNanos() < takeOverNanos(state);
     return confirmed || heldNanos < bounds.silenceNanos(order);
   }
 
-  /** The store answered. */
+  /** Records that the store answered this node. */
   public void onAnswered() {
     failing = false;
     pauseNanos = FIRST_PAUSE_NANOS;
   }
 
   /**
-   * The store answered after a change had been told.
+   * Records that the store answered a call made after another node had announced a change. If the
+   * answer does not reach that change, the store does not have it.
    *
-   * @param told the newest change that had been told before the call
-   * @param position the position reached by the answer, which may lag after history was lost
+   * @param announced the newest change that had been announced before the call
+   * @param position the revision reached by the answer, which may be lower than that of the change
+   *     after the store lost history
+   * @param nowNanos the present time
    */
-  public void onChangeChecked(long told, long position, long nowNanos) {
-    if (told > position) {
-      refuted = told;
-      refutedAtNanos = nowNanos;
+  public void onChangeChecked(long announced, long position, long nowNanos) {
+    if (announced > position) {
+      missingChange = announced;
+      missingSinceNanos = nowNanos;
     }
-    askedInVain = 0;
+    failedAsks = 0;
     tooLarge = false;
   }
 
-  /** A watch brought nothing of a change that others have seen: they are asked before the store. */
+  /**
+   * Records that a watch missed a change that other nodes have seen: asks them before the store.
+   */
   public void onSilent() {
-    askFirst = true;
+    askPeersFirst = true;
   }
 
-  /** The store did not answer this node. */
-  public void onFailed(FollowState sight, long nowNanos) {
+  /** Records that the store did not answer this node. */
+  public void onFailed(FollowState state, long nowNanos) {
     failing = true;
-    askFirst = !sight.known() || isBehind(sight, nowNanos);
-    askedInVain = 0;
-    retryAtNanos = nowNanos + (sight.known() ? pauseNanos(sight) : PAUSE_UNKNOWING_NANOS);
+    askPeersFirst = !state.known() || isBehind(state, nowNanos);
+    failedAsks = 0;
+    retryAtNanos = nowNanos + (state.known() ? pauseNanos(state) : PAUSE_WITHOUT_TABLE_NANOS);
     pauseNanos = Math.min(2 * pauseNanos, LONGEST_PAUSE_NANOS);
   }
 
-  /** A served node tells all others, so that those that fail may call seldom. */
-  private long pauseNanos(FollowState sight) {
-    WatchOrder order = sight.order();
+  /**
+   * Returns the pause before the next attempt. When other nodes still get answers, they announce
+   * changes to this one, so that it may call seldom.
+   */
+  private long pauseNanos(FollowState state) {
+    WatchOrder order = state.order();
     if (order.alone() || order.nodes() <= bounds.watchers()) {
       return pauseNanos;
     }
-    return othersConfirm(sight) || !watches(order) ? bounds.probePauseNanos(order) : pauseNanos;
+    return othersConfirm(state) || !watches(order) ? bounds.probePauseNanos(order) : pauseNanos;
   }
 
-  /** A node knows the change, which is too large for the links of nodes: the store is asked. */
+  /**
+   * Records that a peer has the change, which is too large for the links between nodes: the node
+   * asks the store.
+   */
   public void onTooLarge() {
     tooLarge = true;
   }
 
   /**
-   * Another node was asked.
+   * Records that a peer was asked.
    *
-   * @param caughtUp whether it told the change that had been announced
+   * @param caughtUp whether its answer contained the announced change
    */
   public void onAsked(boolean caughtUp) {
     tooLarge = false;
-    askedInVain = caughtUp ? 0 : askedInVain + 1;
+    failedAsks = caughtUp ? 0 : failedAsks + 1;
   }
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowState.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowState.java
@@ -3,13 +3,15 @@
 /**
  * What a node knows of a table at one moment.
  *
- * @param known whether the table has been read at all
- * @param wholeDue whether the next call to the store should read the table whole
- * @param position the position of the store's history that is reached
- * @param newest the newest change that any node has seen
- * @param sinceOwnNanos time since the store last answered this node; the greatest value for never
- * @param sinceOthersNanos time since another node last told that the store answered it
- * @param order this node's place among those that watch
+ * @param known whether the table has been read at least once
+ * @param wholeDue whether the next call to the store should read the whole table
+ * @param position the revision of the store that the node's copy has reached
+ * @param newest the revision of the newest change that any node has announced
+ * @param sinceOwnNanos time since the store last answered this node; {@link Long#MAX_VALUE} for
+ *     never
+ * @param sinceOthersNanos time since another node last confirmed that the store answered it; {@link
+ *     Long#MAX_VALUE} for never
+ * @param order this node's place in the order in which nodes watch the store
  */
 public record FollowState(
     boolean known,
@@ -20,7 +22,7 @@
     long sinceOthersNanos,
     WatchOrder order) {
 
-  /** Time since it was certain that there was nothing newer than what had been told. */
+  /** Returns the time since the store last confirmed, to any node, that there was nothing newer. */
   long ageNanos() {
     return Math.min(sinceOwnNanos, sinceOthersNanos);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowStep.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowStep.java
@@ -1,14 +1,15 @@
 package org.fallturn.core.following;
 
 /**
- * What the follower of a table does next.
+ * The next action of the thread that follows a table, as {@link FollowPlan} decides it.
  *
+ * @param kind the action
  * @param nanos how long to listen or to watch, or to wait before asking
- * @param candidate whom of the askable nodes to ask; -1 for any
+ * @param candidate index of the node to ask in {@link WatchOrder#askable()}; -1 for any node
  */
 public record FollowStep(Kind kind, long nanos, int candidate) {
 
-  /** Where rows come from. */
+  /** Where the rows of a table come from. */
   public enum Source {
     /** The platform's store. */
     STORE,
@@ -16,13 +17,13 @@
     PEERS
   }
 
-  /** The ways to learn of changes. */
+  /** The ways to get the changes of a table. */
   public enum Kind {
-    /** Wait until another node tells of a change; costs no call. */
+    /** Wait until another node announces a change; costs no call. */
     LISTEN(Source.PEERS),
-    /** Ask another node for what is newer. */
+    /** Ask another node for newer rows. */
     ASK(Source.PEERS),
-    /** Ask the store for what is newer, and wait for it. */
+    /** Ask the store for newer rows and wait until there are some (a long poll). */
     WATCH(Source.STORE),
     /** Ask the store for the whole table. */
     READ_WHOLE(Source.STORE);
@@ -33,7 +34,7 @@
       this.source = source;
     }
 
-    /** Whom a step of this kind relies on. */
+    /** Returns where a step of this kind gets changes from. */
     public Source source() {
       return source;
     }
--- a/fallturn-core/src/main/java/org/fallturn/core/following/WatchOrder.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/WatchOrder.java
@@ -4,24 +4,29 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * A node's place among those that watch the store, as far as it knows. Nodes that know the same
- * others agree on it; where they do not, one more watches.
+ * A node's place in the order in which nodes take over the watch of the store, as this node sees
+ * it. Nodes that know the same peers agree on the order; where they do not, more nodes than needed
+ * may watch.
  *
- * @param rank place in the order in which nodes take over the watch; the first watches
- * @param nodes how many nodes there are, this one included
- * @param alone whether no other node was heard lately
- * @param hasSeeds whether there are others that may still be heard
- * @param askable whom this node asks for rows, in this order; a node may stand there twice
+ * @param rank position of this node in the order; 0 watches first
+ * @param nodes number of nodes, this one included
+ * @param alone whether this node has heard no other node lately
+ * @param hasSeeds whether this node knows addresses of other nodes that it may still hear from
+ * @param askable the nodes that this node asks for rows, in this order; a node may occur twice
  */
 public record WatchOrder(
     int rank, int nodes, boolean alone, boolean hasSeeds, List<NetworkAddress> askable) {
 
-  /** A private copy. */
+  /** Copies the nodes to ask. */
   public WatchOrder {
     askable = List.copyOf(askable);
   }
 
-  /** The order of a node that knows nobody. */
+  /**
+   * Returns the order of a node that knows no other.
+   *
+   * @param hasSeeds whether it knows addresses of other nodes that it may still hear from
+   */
   public static WatchOrder ofOne(boolean hasSeeds) {
     return new WatchOrder(0, 1, true, hasSeeds, List.of());
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/following/package-info.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Whom a node asks for the rows of a table that all nodes follow: the store, or another node. Pure
- * decisions; the follower of a table carries them out.
+ * Decides whether a node gets the rows of a replicated table from the store or from another node.
+ * Decisions only, without input or output; the thread that follows the table carries them out.
  */
 package org.fallturn.core.following;
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/Caller.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/Caller.java
@@ -3,22 +3,25 @@
 import java.util.Optional;
 
 /**
- * On whose behalf a request runs.
+ * The authenticated sender of a request.
  *
- * @param tenant the tenant whose key it bears; empty where none is needed
- * @param keyHidden whether its key is a matter of this system, so that no engine may see it
+ * @param tenant the tenant whose key the request bears; empty when the request was let in without a
+ *     key
+ * @param keyHidden whether this system checks keys itself, so that the key is not passed on to an
+ *     engine
  */
 public record Caller(Optional<Tenant> tenant, boolean keyHidden) {
 
   /**
-   * No tenants are configured: what the request says of its sender is between it and the engine.
+   * The sender when no tenants are configured: credentials in the request are not checked here and
+   * are passed on to the engine.
    */
   public static final Caller UNCHECKED = new Caller(Optional.empty(), false);
 
-  /** A request without a key on a route that needs none. */
+  /** The sender of a request without a key on a route that needs none. */
   public static final Caller ANONYMOUS = new Caller(Optional.empty(), true);
 
-  /** A request that bears a key of this tenant. */
+  /** Returns the sender of a request that bears a key of this tenant. */
   public static Caller of(Tenant tenant) {
     return new Caller(Optional.of(tenant), true);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/EngineDirectory.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/EngineDirectory.java
@@ -9,8 +9,8 @@
 import java.util.function.Predicate;
 
 /**
- * The engines that a node knows, at one position of the store's history. Immutable; made again
- * whole at each change.
+ * A snapshot of all engines that a node knows, at one revision of the store. Immutable: each change
+ * builds a new directory.
  */
 public final class EngineDirectory {
 
@@ -30,47 +30,58 @@
     this.byService = Map.copyOf(grouped);
   }
 
-  /** No engine is known yet. */
+  /** Returns the directory of a node that knows no engine yet. */
   public static EngineDirectory empty() {
     return EMPTY;
   }
 
-  /** The whole list as read at a position. */
+  /**
+   * Returns the directory of a complete list of engines.
+   *
+   * @param revision revision of the store at which the list was read
+   * @param all all engines that the store lists
+   */
   public static EngineDirectory of(long revision, Collection<ServingEngine> all) {
     Map<String, ServingEngine> engines = new HashMap<>();
     all.forEach(engine -> engines.put(engine.id(), engine));
     return new EngineDirectory(revision, engines);
   }
 
-  /** The same list, in which these engines take nothing new. */
+  /**
+   * Returns this directory with further engines marked as leaving, so that they get no new
+   * requests.
+   *
+   * @param leaves whether the engine with this id (see {@link ServingEngine#id()}) is leaving
+   * @return this directory itself when all those engines are marked already
+   */
   public EngineDirectory withLeaving(Predicate<String> leaves) {
-    Predicate<ServingEngine> unsaid = engine -> !engine.leaving() && leaves.test(engine.id());
-    if (engines.values().stream().noneMatch(unsaid)) {
+    Predicate<ServingEngine> notYetMarked = engine -> !engine.leaving() && leaves.test(engine.id());
+    if (engines.values().stream().noneMatch(notYetMarked)) {
       return this;
     }
     return of(
         revision,
         engines.values().stream()
-            .map(engine -> unsaid.test(engine) ? engine.asLeaving() : engine)
+            .map(engine -> notYetMarked.test(engine) ? engine.asLeaving() : engine)
             .toList());
   }
 
-  /** Position in the store's history. */
+  /** Returns the revision of the store at which the engines were read. */
   public long revision() {
     return revision;
   }
 
-  /** Every engine. */
+  /** Returns every engine, in no particular order. */
   public Collection<ServingEngine> all() {
     return engines.values();
   }
 
-  /** The engines of one service, in no particular order. */
+  /** Returns the engines of one service, in no particular order. */
   public List<ServingEngine> ofService(String service) {
     return byService.getOrDefault(service, List.of());
   }
 
-  /** One engine, when its entry is there. */
+  /** Returns the engine with this id, or empty when the directory does not list it. */
   public Optional<ServingEngine> find(String id) {
     return Optional.ofNullable(engines.get(id));
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/EngineProfile.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/EngineProfile.java
@@ -3,14 +3,15 @@
 import java.time.Duration;
 
 /**
- * What every model engine of a service can hold and move.
+ * The capacity of a model engine, which is the same for all engines of a service.
  *
- * @param slots requests that run at once
- * @param cacheTokens tokens of KV cache
- * @param tokenBytes bytes of KV cache a token takes
- * @param linkMegabitsPerSecond speed of the link between engines
- * @param handleLifetime how long a prefilled KV cache waits to be fetched
- * @param roleSwitch how long a change of role takes the engine away
+ * @param slots requests that an engine runs at once
+ * @param cacheTokens size of the KV cache in tokens
+ * @param tokenBytes bytes of KV cache that a token takes
+ * @param linkMegabitsPerSecond bandwidth of the link between engines, in Mbit/s
+ * @param handleLifetime how long a prefill engine keeps the KV cache of a prompt for a decode
+ *     engine to fetch it
+ * @param roleSwitch how long an engine is unavailable while it switches between prefill and decode
  */
 public record EngineProfile(
     int slots,
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/EngineStage.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/EngineStage.java
@@ -1,11 +1,11 @@
 package org.fallturn.core.routing;
 
-/** Which part of a request an engine does now. */
+/** The stage of a request that an engine currently runs. */
 public enum EngineStage {
-  /** Reads prompts and hands their KV cache over. */
+  /** Reads prompts and hands their KV cache over to a decode engine. */
   PREFILL,
-  /** Generates tokens; reads prompts too, slowly. */
+  /** Generates tokens; can read prompts too, but slowly. */
   DECODE,
-  /** An application back end, which has no stages. */
+  /** No stage: the engine is an application back end. */
   NONE
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/Rank.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/Rank.java
@@ -1,15 +1,15 @@
 package org.fallturn.core.routing;
 
 /**
- * The place of a request in the order of its service; all nodes that have the same configuration
- * give it the same.
+ * The priority level of a request among the requests of its service. All nodes that have the same
+ * configuration compute the same level.
  *
- * @param place 0 goes first
- * @param places how many places there are
+ * @param place the level; 0 is the most urgent
+ * @param places the number of levels
  */
 public record Rank(int place, int places) {
 
-  /** The place that a route gives where tenants have none. */
+  /** Returns the level of a route's requests when no tenant has a priority. */
   public static Rank of(Route route) {
     return new Rank(route.priority(), 1);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/RequestKind.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/RequestKind.java
@@ -1,11 +1,11 @@
 package org.fallturn.core.routing;
 
-/** What may be done again with the requests of a route. */
+/** Whether the requests of a route may run more than once. */
 public enum RequestKind {
   /** May run more than once. */
   IDEMPOTENT,
   /** Runs at most once. */
   NON_IDEMPOTENT,
-  /** Answers with a series of events; runs at most once unless its route is resumable. */
+  /** Answers with a stream of events; runs at most once unless its route is resumable. */
   STREAMING
 }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/Route.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/Route.java
@@ -4,22 +4,23 @@
 import java.util.List;
 
 /**
- * What an operator says of the requests of one host and path prefix. Immutable.
+ * The configuration of the requests to one host and path prefix. Immutable.
  *
- * @param name name of the route, for logs
- * @param host host the request names, in lower case and without a port
- * @param pathPrefix begins and ends with a slash
- * @param kind what may be done again
- * @param resumable whether another engine may go on with a stream after its last event
- * @param timeout the longest a request is held
- * @param targetLatency the time within which an answer is worth most
- * @param eventGapTarget longest pause between events that is still in time; zero when not a stream
- * @param beginPatience how long a caller waits for the beginning of its answer; it may be less than
- *     the time it has for the whole
+ * @param name name of the route, as logs show it
+ * @param host host name of the requests, in lower case and without a port
+ * @param pathPrefix prefix of the request path; begins and ends with a slash
+ * @param kind whether requests may run more than once
+ * @param resumable whether another engine may continue a stream after the last event that was sent
+ * @param timeout the longest time that a request may take in all
+ * @param targetLatency the time within which the answer should be complete
+ * @param eventGapTarget the longest pause between two events of a stream that is still in time;
+ *     zero when the route does not stream
+ * @param beginPatience how long a caller waits for the beginning of its answer before it gives up;
+ *     may be shorter than the timeout
  * @param priority 0 is the most urgent
- * @param maxAttempts the most engines that may run one request
- * @param services where the requests go, by weight; at least one
- * @param openToAll whether callers without a key are served where tenants are configured
+ * @param maxAttempts the largest number of engines that may run one request
+ * @param services the services that share the requests by weight; at least one
+ * @param openToAll whether callers without a key are served even when tenants are configured
  */
 public record Route(
     String name,
@@ -36,12 +37,12 @@
     List<WeightedService> services,
     boolean openToAll) {
 
-  /** A private copy of the services. */
+  /** Copies the services. */
   public Route {
     services = List.copyOf(services);
   }
 
-  /** A route whose callers need a key where tenants are configured. */
+  /** Creates a route whose callers need a key when tenants are configured. */
   public Route(
       String name,
       String host,
@@ -71,12 +72,12 @@
         false);
   }
 
-  /** Whether the same request may run on a second engine after the first may have run it. */
+  /** Returns whether a request may run on a second engine although the first may have run it. */
   public boolean repeatable() {
     return kind == RequestKind.IDEMPOTENT || kind == RequestKind.STREAMING && resumable;
   }
 
-  /** Whether the answer is a series of events. */
+  /** Returns whether the answer is a stream of events. */
   public boolean streaming() {
     return kind == RequestKind.STREAMING;
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/RoutingImage.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/RoutingImage.java
@@ -12,9 +12,9 @@
 import java.util.stream.Collectors;
 
 /**
- * One accepted version of routes, services and limits. Immutable. Versions rise in uneven steps;
- * {@code revision} is the position in the store's history that this version was read at, and it
- * alone orders two images.
+ * A snapshot of the routes, services, limits and tenant keys of one accepted version of the
+ * configuration. Immutable. Only {@code revision}, the revision of the store at which the version
+ * was read, orders two images; version numbers may skip values.
  */
 public final class RoutingImage {
 
@@ -27,7 +27,7 @@
   private final Ranking ranking;
   private final Set<String> routeNames;
 
-  /** An image without tenants. */
+  /** Creates an image without tenants. */
   public RoutingImage(
       long revision,
       long version,
@@ -38,11 +38,14 @@
   }
 
   /**
-   * An image.
+   * Creates an image.
    *
-   * @param revision position in the store's history
-   * @param version the operator's own number
-   * @param keys the keys that callers may bear
+   * @param revision revision of the store at which the configuration was read
+   * @param version number that the operator gave to this version
+   * @param routes all routes
+   * @param services all services
+   * @param limits limits on requests
+   * @param keys the keys of tenants, by which callers are authenticated
    */
   public RoutingImage(
       long revision,
@@ -63,7 +66,9 @@
     this.services = Map.copyOf(byName);
   }
 
-  /** Longest prefix first, so that the first match is the route. */
+  /**
+   * Sorts the routes of each host by prefix, longest first, so that the first match is the route.
+   */
   private static Map<String, List<Route>> byHost(List<Route> routes) {
     Map<String, List<Route>> grouped = new HashMap<>();
     for (Route route : routes) {
@@ -75,61 +80,61 @@
     return Map.copyOf(grouped);
   }
 
-  /** Position in the store's history. */
+  /** Returns the revision of the store at which the configuration was read. */
   public long revision() {
     return revision;
   }
 
-  /** The operator's own number of this version. */
+  /** Returns the number that the operator gave to this version. */
   public long version() {
     return version;
   }
 
-  /** Bounds on requests. */
+  /** Returns the limits on requests. */
   public RequestLimits limits() {
     return limits;
   }
 
-  /** The keys that callers may bear. */
+  /** Returns the keys of tenants, by which callers are authenticated. */
   public TenantKeys keys() {
     return keys;
   }
 
-  /** The place of a caller's request among those of its service. */
+  /** Returns the priority level of a caller's request among the requests of its service. */
   public Rank rank(Route route, Caller caller) {
     return ranking.of(route, caller);
   }
 
-  /** How many routes there are. */
+  /** Returns the number of distinct route names. */
   public int routeCount() {
     return routeNames.size();
   }
 
-  /** Names of the routes. */
+  /** Returns the names of all routes. */
   public Set<String> routeNames() {
     return routeNames;
   }
 
-  /** Every service. */
+  /** Returns all services. */
   public Collection<ServiceDefinition> services() {
     return services.values();
   }
 
-  /** A service by name. */
+  /** Returns the service with this name. */
   public Optional<ServiceDefinition> service(String name) {
     return Optional.ofNullable(services.get(name));
   }
 
-  /** Whether this image replaces the other. */
+  /** Returns whether this image was read at a later revision than the other and replaces it. */
   public boolean isNewerThan(RoutingImage other) {
     return revision > other.revision;
   }
 
   /**
-   * The route with the longest prefix that begins the path.
+   * Returns the route of this host that has the longest prefix of the path.
    *
-   * @param host as the caller names it; case and port do not matter
-   * @param path path without query
+   * @param host host as the caller sent it; case and port are ignored
+   * @param path path of the request without its query
    */
   public Optional<Route> match(String host, String path) {
     for (Route route : routesByHost.getOrDefault(hostName(host), List.of())) {
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/ScalingTerms.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/ScalingTerms.java
@@ -5,23 +5,24 @@
 import java.util.OptionalDouble;
 
 /**
- * On which terms engines of a service may be ordered.
+ * The limits and prices within which the planner may order engines of a service.
  *
- * @param least the fewest engines of a zone, of both kinds together
- * @param most the most engines of a zone, of both kinds together
- * @param boot how long a new engine takes to serve
- * @param loanPrice price of an engine on loan as a part of that of another; empty where none are
- * @param priceByZone price of an engine by zone
+ * @param least the smallest number of engines in a zone, own engines and those on loan together
+ * @param most the largest number of engines in a zone, own engines and those on loan together
+ * @param boot time from ordering an engine until it serves requests
+ * @param loanPrice price of an engine on loan (a spot instance) as a fraction of the price of an
+ *     own engine; empty when there are no loans
+ * @param priceByZone relative price of an engine by zone
  */
 public record ScalingTerms(
     int least, int most, Duration boot, OptionalDouble loanPrice, Map<String, Double> priceByZone) {
 
-  /** A private copy. */
+  /** Copies the prices. */
   public ScalingTerms {
     priceByZone = Map.copyOf(priceByZone);
   }
 
-  /** The price of an engine in a zone; that of most zones where none is given. */
+  /** Returns the relative price of an engine in a zone; 1 when the configuration gives none. */
   public double zonePrice(String zone) {
     return priceByZone.getOrDefault(zone, 1.0);
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/ServiceDefinition.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/ServiceDefinition.java
@@ -3,12 +3,12 @@
 import java.util.Optional;
 
 /**
- * A service as the operator defines it.
+ * The configuration of a service.
  *
  * @param name name of the service
- * @param maxConnections connections that one engine takes from all nodes together
- * @param engine what its model engines can hold; empty for an application service
- * @param scaling on which terms its engines may be ordered; empty where they may not
+ * @param maxConnections the most connections that one engine accepts from all nodes together
+ * @param engine capacity of each of its model engines; empty for an application service
+ * @param scaling limits and prices for ordering engines; empty when none may be ordered
  */
 public record ServiceDefinition(
     String name,
@@ -16,7 +16,7 @@
     Optional<EngineProfile> engine,
     Optional<ScalingTerms> scaling) {
 
-  /** A service whose engines cannot be ordered. */
+  /** Creates a service whose engines cannot be ordered. */
   public ServiceDefinition(String name, int maxConnections, Optional<EngineProfile> engine) {
     this(name, maxConnections, engine, Optional.empty());
   }
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/ServingEngine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/ServingEngine.java
@@ -6,18 +6,20 @@
 import org.fallturn.core.domain.NetworkAddress;
 
 /**
- * One incarnation of an engine or application back end as the directory tells it.
+ * One incarnation of an engine or application back end, as its entry in the directory describes it.
  *
- * @param listedId the name it is listed under and addressed by; an engine may start again under it
- * @param bornMillis the Unix time of its start, where it tells
- * @param service the service it serves
- * @param address where it listens
- * @param zone zone it stands in
- * @param slots requests it runs at once
- * @param leaving whether it takes nothing new
- * @param leavesIn how long after that was written it ends, where it tells
- * @param reclaimable whether it is on loan at a lower price and may be taken away soon
- * @param stage its present part
+ * @param listedId id of its entry, by which it is addressed; an engine keeps it when it restarts
+ * @param bornMillis Unix time of its start in milliseconds; empty when the entry does not say
+ * @param service name of the service that it serves
+ * @param address address that it listens on
+ * @param zone zone that it runs in
+ * @param slots requests that it runs at once
+ * @param leaving whether it is shutting down and takes no new requests
+ * @param leavesIn time from marking the entry as leaving until the engine ends; empty when the
+ *     entry does not say
+ * @param reclaimable whether it is on loan (a spot instance): cheaper, and may be taken away at
+ *     short notice
+ * @param stage the stage of requests that it currently runs
  */
 public record ServingEngine(
     String listedId,
@@ -31,9 +33,9 @@
     boolean reclaimable,
     EngineStage stage) {
 
-  private static final String INCARNATION = "@";
+  private static final String INCARNATION_SEPARATOR = "@";
 
-  /** An engine that tells neither when it started nor how it is paid. */
+  /** Creates an engine whose entry says neither when it started nor that it is on loan. */
   public ServingEngine(
       String id,
       String service,
@@ -56,21 +58,29 @@
   }
 
   /**
-   * What everything that is believed of an engine is kept by: other than that of the engine which
-   * had the same listed id before, since a restart loses all that an engine held.
+   * Returns the id of this incarnation, under which nodes keep all state about the engine. It
+   * differs from the id of an earlier incarnation with the same listed id, because an engine loses
+   * all that it holds when it restarts.
    */
   public String id() {
-    return bornMillis.isPresent() ? listedId + INCARNATION + bornMillis.getAsLong() : listedId;
+    return bornMillis.isPresent()
+        ? listedId + INCARNATION_SEPARATOR + bornMillis.getAsLong()
+        : listedId;
   }
 
-  /** Whether something that says when it started is another incarnation. */
+  /**
+   * Returns whether an engine with the same listed id is a different incarnation. False when either
+   * start time is unknown.
+   *
+   * @param otherBornMillis Unix time of the other's start in milliseconds, if known
+   */
   public boolean isOtherIncarnation(OptionalLong otherBornMillis) {
     return bornMillis.isPresent()
         && otherBornMillis.isPresent()
         && bornMillis.getAsLong() != otherBornMillis.getAsLong();
   }
 
-  /** The same engine, which takes nothing new. */
+  /** Returns this engine marked as leaving. */
   public ServingEngine asLeaving() {
     return new ServingEngine(
         listedId, bornMillis, service, address, zone, slots, true, leavesIn, reclaimable, stage);
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/Tenant.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/Tenant.java
@@ -3,10 +3,10 @@
 import java.util.OptionalInt;
 
 /**
- * A customer of the operator, as far as the requests of its callers are concerned.
+ * A customer of the operator, on whose behalf callers send requests.
  *
- * @param name how engines and usage reports know it
- * @param priority its rank, which goes before that of a route; 0 is the most urgent; empty where
- *     the ranks of the routes hold
+ * @param name name of the tenant in requests to engines and in usage reports
+ * @param priority priority of its requests, which takes precedence over the priority of the route;
+ *     0 is the most urgent; empty when the tenant has none
  */
 public record Tenant(String name, OptionalInt priority) {}
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/TenantKeys.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/TenantKeys.java
@@ -11,14 +11,15 @@
 import org.fallturn.core.error.FallturnException;
 
 /**
- * The keys that tenants hold in one version of the configuration. Immutable.
+ * The API keys of the tenants in one version of the configuration; authenticates callers.
+ * Immutable.
  *
  * <p>Invariant: only hashes of the keys are kept, so that neither a log line nor a heap dump shows
- * a key, and the time of a look-up says nothing about the keys that exist.
+ * a key, and the duration of a look-up reveals nothing about the keys that exist.
  */
 public final class TenantKeys {
 
-  /** Of the hash, 128 bits are kept: nobody finds another key with the same. */
+  /** Length of the kept part of a hash: with 128 bits it is infeasible to find a matching key. */
   private static final int DIGEST_BYTES = 16;
 
   private static final TenantKeys NONE = new TenantKeys(false, Map.of());
@@ -31,39 +32,41 @@
     this.byDigest = byDigest;
   }
 
-  /** The configuration names no tenants, and no key is asked for. */
+  /** Returns the keys of a configuration without tenants, which accepts requests without a key. */
   public static TenantKeys none() {
     return NONE;
   }
 
-  /** Keys of a configuration that names tenants. */
+  /** Returns a builder for the keys of a configuration that has tenants. */
   public static Builder builder() {
     return new Builder();
   }
 
-  /** Collects keys. One thread uses it. */
+  /** Collects keys. Not thread-safe. */
   public static final class Builder {
 
     private final Map<String, Tenant> byDigest = new HashMap<>();
 
-    /** A tenant holds a key. */
+    /** Adds a key of a tenant. */
     public Builder add(Tenant tenant, String key) {
       byDigest.put(digest(key), tenant);
       return this;
     }
 
-    /** The keys that were added. */
+    /** Returns the keys that were added. */
     public TenantKeys build() {
       return new TenantKeys(true, Map.copyOf(byDigest));
     }
   }
 
   /**
-   * Finds out on whose behalf a request runs. A key that nobody holds is refused on every route,
-   * since it may be one that was taken away.
+   * Returns the sender of a request. An unknown key is refused on every route, even on one that
+   * needs no key, since it may have been revoked.
    *
+   * @param route the route that the request matches
    * @param key the key that the request bears, if any
-   * @throws FallturnException UNAUTHENTICATED, naming no key
+   * @throws FallturnException UNAUTHENTICATED when the key is unknown or missing; the message does
+   *     not contain the key
    */
   public Caller authenticate(Route route, Optional<String> key) throws FallturnException {
     if (!configured) {
@@ -82,7 +85,7 @@
     return Caller.ANONYMOUS;
   }
 
-  /** The priorities that tenants have, the most urgent first. */
+  /** Returns the distinct priorities of tenants, the most urgent first. */
   List<Integer> priorities() {
     return byDigest.values().stream()
         .flatMap(tenant -> tenant.priority().stream().boxed())
@@ -91,7 +94,7 @@
         .toList();
   }
 
-  /** How many keys there are. */
+  /** Returns the number of keys. */
   public int size() {
     return byDigest.size();
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
@@ -11,6 +11,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against two failures of replicating a table: nodes that all call the store at once, when
+ * it changes or is down, and nodes that keep a stale copy because they rely on peers that are lost,
+ * behind or wrong.
+ */
 class FollowPlanTest {
 
   private static final FollowBounds BOUNDS =
@@ -30,22 +35,22 @@
     return new WatchOrder(rank, 71, false, true, List.of(RELAY, RELAY));
   }
 
-  private static FollowState sight(
+  private static FollowState state(
       WatchOrder order, long newest, long sinceOwnNanos, long sinceOthersNanos) {
     return new FollowState(true, false, 10, newest, sinceOwnNanos, sinceOthersNanos, order);
   }
 
   private FollowStep next(WatchOrder order, long newest, long sinceOwn, long sinceOthers) {
-    return plan.next(sight(order, newest, sinceOwn, sinceOthers), NOW);
+    return plan.next(state(order, newest, sinceOwn, sinceOthers), NOW);
   }
 
   @Test
-  void nodeThatIsToldThatThereIsNothingNewerListens() {
+  void nodeListensWhileOthersConfirm() {
     assertThat(next(order(MEMBER), 10, NEVER, 0).kind()).isEqualTo(Kind.LISTEN);
   }
 
   @Test
-  void firstNodeConfirmsAndTheSecondHoldsALongWatch() {
+  void firstNodeConfirmsAndSecondHoldsALongWatch() {
     FollowStep first = next(order(0), 10, 0, 0);
     assertThat(first.kind()).isEqualTo(Kind.WATCH);
     assertThat(first.nanos()).isEqualTo(BOUNDS.confirmNanos());
@@ -55,7 +60,7 @@
   }
 
   @Test
-  void relayThatIsLostIsNotWaitedForLongerThanTheTrustedTime() {
+  void nodeAsksTheStoreWhenConfirmationsStopForTheTrustedTime() {
     long trust = BOUNDS.trustNanos();
     assertThat(next(order(MEMBER), 10, NEVER, trust - 1).kind()).isEqualTo(Kind.LISTEN);
     FollowStep step = next(order(MEMBER), 10, NEVER, trust);
@@ -71,9 +76,9 @@
     assertThat(BOUNDS.takeOverNanos(order(MEMBER))).isEqualTo(BOUNDS.trustNanos());
   }
 
-  /** A confirmation repeated from memory is none, so a node that nobody confirms takes over. */
+  /** An old confirmation that is repeated does not count, so the node must go on watching. */
   @Test
-  void nodeThatTookOverGoesOnWhileNobodyElseConfirms() {
+  void nodeThatTookOverGoesOnWhileNoOtherNodeConfirms() {
     long settled = BOUNDS.confirmNanos() / 2;
     assertThat(next(order(MEMBER), 10, 0, NEVER).kind()).isEqualTo(Kind.LISTEN);
     FollowStep step = next(order(MEMBER), 10, settled, NEVER);
@@ -82,7 +87,7 @@
   }
 
   @Test
-  void relayThatIsBehindIsAskedAgainAndThenTheStore() {
+  void asksRelayTwiceThenAnyNodeThenTheStore() {
     assertThat(next(order(MEMBER), 12, NEVER, 0)).isEqualTo(FollowStep.ask(0, millis(20)));
     plan.onAsked(false);
     assertThat(next(order(MEMBER), 12, NEVER, 0)).isEqualTo(FollowStep.ask(1, millis(60)));
@@ -92,22 +97,22 @@
     assertThat(next(order(MEMBER), 12, NEVER, 0)).isEqualTo(FollowStep.watch(0));
   }
 
-  /** Each node that asks draws it over the same link, which once took five seconds for sixteen. */
+  /** Nodes that ask fetch the change over the same link: sixteen of them once took five seconds. */
   @Test
-  void changeThatIsTooLargeForNodesIsReadFromTheStore() {
-    FollowState told = sight(order(MEMBER), 12, NEVER, 0);
-    assertThat(plan.next(told, NOW).kind()).isEqualTo(Kind.ASK);
+  void changeTooLargeForPeersIsReadFromTheStore() {
+    FollowState announced = state(order(MEMBER), 12, NEVER, 0);
+    assertThat(plan.next(announced, NOW).kind()).isEqualTo(Kind.ASK);
     plan.onTooLarge();
-    assertThat(plan.next(told, NOW)).isEqualTo(FollowStep.watch(0));
-    plan.onFailed(told, NOW);
-    plan.next(told, NOW);
+    assertThat(plan.next(announced, NOW)).isEqualTo(FollowStep.watch(0));
+    plan.onFailed(announced, NOW);
+    plan.next(announced, NOW);
     plan.onTooLarge();
-    assertThat(plan.next(told, NOW)).isEqualTo(FollowStep.askAny());
+    assertThat(plan.next(announced, NOW)).isEqualTo(FollowStep.askAny());
   }
 
-  /** A change that is told and is not there costs the node one call, not one a moment. */
+  /** An announced change that is not in the store must cost a node one call, not a busy loop. */
   @Test
-  void changeThatTheStoreDoesNotHaveIsNotLookedForAgain() {
+  void changeMissingFromTheStoreIsNotLookedForAgainForAWhile() {
     plan.onAsked(false);
     plan.onAsked(false);
     plan.onAsked(false);
@@ -116,23 +121,23 @@
     plan.onChangeChecked(99, 14, NOW);
     assertThat(next(order(MEMBER), 99, 0, 0).kind()).isEqualTo(Kind.LISTEN);
     assertThat(next(order(MEMBER), 100, 0, 0).kind()).isEqualTo(Kind.ASK);
-    FollowState told = sight(order(MEMBER), 99, 0, 0);
-    assertThat(plan.next(told, NOW + BOUNDS.longestWaitNanos()).kind()).isEqualTo(Kind.ASK);
+    FollowState announced = state(order(MEMBER), 99, 0, 0);
+    assertThat(plan.next(announced, NOW + BOUNDS.longestWaitNanos()).kind()).isEqualTo(Kind.ASK);
   }
 
   @Test
-  void nodeThatHearsNobodyWatchesTheStoreItself() {
+  void nodeThatHearsNoOtherWatchesTheStore() {
     WatchOrder alone = WatchOrder.ofOne(false);
     assertThat(next(alone, 10, 0, NEVER)).isEqualTo(FollowStep.watch(BOUNDS.longestWaitNanos()));
   }
 
-  /** Had each begun a watch before it hears the others, the first change would end them all. */
+  /** If each node watched before it heard the others, the first change would end all watches. */
   @Test
   void nodesThatStartAtOnceWaitToHearEachOther() {
     WatchOrder alone = WatchOrder.ofOne(true);
     assertThat(next(alone, 10, 0, NEVER).kind()).isEqualTo(Kind.LISTEN);
     FollowStep later =
-        plan.next(sight(alone, 10, millis(600), NEVER), NOW + BOUNDS.confirmNanos() / 2);
+        plan.next(state(alone, 10, millis(600), NEVER), NOW + BOUNDS.confirmNanos() / 2);
     assertThat(later.kind()).isEqualTo(Kind.WATCH);
   }
 
@@ -143,30 +148,30 @@
   }
 
   @Test
-  void nodeThatTheStoreTurnsAwayAsksOthersAndCallsSeldom() {
-    FollowState behind = sight(order(1), 12, NEVER, 0);
+  void nodeWithoutAnswerFromTheStoreAsksOthersAndCallsSeldom() {
+    FollowState behind = state(order(1), 12, NEVER, 0);
     plan.onFailed(behind, NOW);
     assertThat(plan.next(behind, NOW)).isEqualTo(FollowStep.askAny());
     plan.onAsked(true);
-    FollowStep step = plan.next(sight(order(1), 10, NEVER, 0), NOW);
+    FollowStep step = plan.next(state(order(1), 10, NEVER, 0), NOW);
     assertThat(step).isEqualTo(FollowStep.listen(BOUNDS.longestWaitNanos()));
   }
 
   @Test
-  void nodeThatKnowsNothingTriesAgainSoon() {
-    FollowState unknowing = new FollowState(false, true, 0, 0, NEVER, 0, order(MEMBER));
-    assertThat(plan.next(unknowing, NOW).kind()).isEqualTo(Kind.READ_WHOLE);
-    plan.onFailed(unknowing, NOW);
-    assertThat(plan.next(unknowing, NOW)).isEqualTo(FollowStep.askAny());
+  void nodeWithoutTableRetriesSoon() {
+    FollowState withoutTable = new FollowState(false, true, 0, 0, NEVER, 0, order(MEMBER));
+    assertThat(plan.next(withoutTable, NOW).kind()).isEqualTo(Kind.READ_WHOLE);
+    plan.onFailed(withoutTable, NOW);
+    assertThat(plan.next(withoutTable, NOW)).isEqualTo(FollowStep.askAny());
     plan.onAsked(false);
-    assertThat(plan.next(unknowing, NOW)).isEqualTo(FollowStep.listen(millis(100)));
-    assertThat(plan.next(unknowing, NOW + millis(100)).kind()).isEqualTo(Kind.READ_WHOLE);
+    assertThat(plan.next(withoutTable, NOW)).isEqualTo(FollowStep.listen(millis(100)));
+    assertThat(plan.next(withoutTable, NOW + millis(100)).kind()).isEqualTo(Kind.READ_WHOLE);
   }
 
-  /** Had it gone on to wait for the store, it would have stood still at what it knew. */
+  /** A node that only waited for the store would keep its stale copy. */
   @Test
-  void nodeThatTheStoreTurnsAwayAsksUntilSomebodyKnows() {
-    FollowState behind = sight(order(1), 12, NEVER, 0);
+  void nodeWithoutAnswerFromTheStoreAsksUntilANodeHasTheChange() {
+    FollowState behind = state(order(1), 12, NEVER, 0);
     plan.onFailed(behind, NOW);
     for (int round = 0; round < 2; round++) {
       for (int asked = 0; asked < 3; asked++) {
@@ -178,29 +183,29 @@
   }
 
   @Test
-  void silentWatchIsEndedOnceNobodyConfirms() {
+  void watchIsNotTrustedOnceConfirmationsStop() {
     long trust = BOUNDS.trustNanos();
-    assertThat(plan.trusts(sight(order(1), 10, NEVER, 0), 10 * trust)).isTrue();
-    assertThat(plan.trusts(sight(order(1), 10, NEVER, trust), trust)).isFalse();
+    assertThat(plan.trusts(state(order(1), 10, NEVER, 0), 10 * trust)).isTrue();
+    assertThat(plan.trusts(state(order(1), 10, NEVER, trust), trust)).isFalse();
   }
 
-  /** Counts what all nodes together call, each with its own plan and told without delay. */
+  /** Counts the calls of all nodes, each with its own plan and informed without delay. */
   @ParameterizedTest
   @ValueSource(ints = {8, 71, 112})
-  void changeCostsAsManyCallsAsThereAreWatchers(int nodes) {
+  void onlyTheWatchersCallTheStoreForAChange(int nodes) {
     int calls = 0;
     for (int node = 0; node < nodes; node++) {
       FollowPlan own = new FollowPlan(BOUNDS);
       WatchOrder order = new WatchOrder(node, nodes, false, true, List.of(RELAY, RELAY));
-      FollowStep before = own.next(sight(order, 10, 0, 0), NOW);
-      FollowStep told = own.next(sight(order, 11, 0, 0), NOW);
+      FollowStep before = own.next(state(order, 10, 0, 0), NOW);
+      FollowStep announced = own.next(state(order, 11, 0, 0), NOW);
       calls += before.kind() == Kind.WATCH ? 1 : 0;
-      assertThat(told.kind()).isEqualTo(Kind.ASK);
+      assertThat(announced.kind()).isEqualTo(Kind.ASK);
     }
     assertThat(calls).isEqualTo(BOUNDS.watchers());
   }
 
-  /** A store that serves nobody for eight seconds was called by each node ten times a table. */
+  /** Each node once called a store that was down for eight seconds ten times for each table. */
   @ParameterizedTest
   @ValueSource(ints = {71, 112})
   void storeThatIsDownIsCalledSeldom(int nodes) {
@@ -209,7 +214,7 @@
       FollowPlan own = new FollowPlan(BOUNDS);
       WatchOrder order = new WatchOrder(node, nodes, false, true, List.of(RELAY, RELAY));
       for (long now = 0; now < TimeUnit.SECONDS.toNanos(8); now += millis(10)) {
-        FollowState seen = sight(order, 10, now, now);
+        FollowState seen = state(order, 10, now, now);
         if (own.next(seen, now).kind().source() == FollowStep.Source.STORE) {
           calls++;
           own.onFailed(seen, now);
--- a/fallturn-core/src/test/java/org/fallturn/core/routing/RankingTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/routing/RankingTest.java
@@ -7,6 +7,10 @@
 import java.util.OptionalInt;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a wrong order of requests when tenants and routes both have priorities: a tenant's
+ * priority must take precedence, and levels must be numbered without gaps for each service.
+ */
 class RankingTest {
 
   private static final Duration SECOND = Duration.ofSeconds(1);
@@ -34,7 +38,7 @@
   private final Route application = route("app", 2);
 
   @Test
-  void theTenantsPriorityGoesBeforeTheRoutes() {
+  void tenantPriorityTakesPrecedenceOverRoutePriority() {
     Ranking ranking = new Ranking(List.of(urgent, patient, application), List.of(0, 4));
     assertThat(ranking.of(urgent, FIRST)).isEqualTo(new Rank(0, 4));
     assertThat(ranking.of(patient, FIRST)).isEqualTo(new Rank(1, 4));
@@ -44,13 +48,13 @@
   }
 
   @Test
-  void callersWithoutAPriorityGoBehind() {
+  void callersWithoutPriorityRankWithTheLeastUrgentTenant() {
     Ranking ranking = new Ranking(List.of(urgent, patient), List.of(0, 4));
     assertThat(ranking.of(urgent, Caller.ANONYMOUS)).isEqualTo(new Rank(2, 4));
   }
 
   @Test
-  void withoutTenantsTheRouteDecides() {
+  void withoutTenantsTheRoutePriorityDecides() {
     Ranking ranking = new Ranking(List.of(urgent, patient, application), List.of());
     assertThat(ranking.of(application, Caller.UNCHECKED)).isEqualTo(new Rank(2, 1));
   }
--- a/fallturn-core/src/test/java/org/fallturn/core/routing/RoutingImageTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/routing/RoutingImageTest.java
@@ -6,6 +6,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against a request matching the wrong route when prefixes of one host overlap, and against
+ * an older image replacing a newer one.
+ */
 class RoutingImageTest {
 
   private static Route route(String name, String host, String prefix) {
@@ -44,7 +48,7 @@
   }
 
   @Test
-  void positionInTheHistoryOrdersImages() {
+  void storeRevisionOrdersImages() {
     assertThat(image(3).isNewerThan(image(2))).isTrue();
     assertThat(image(2).isNewerThan(image(2))).isFalse();
   }
