--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowBounds.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowBounds.java
@@ -33,7 +33,7 @@
    * Returns the bounds of a fleet.
    *
    * @param change time within which a change must take effect at every node
-   * @param contact time within which a node must have contact to the store or its peers again
+   * @param contact time within which a node must be in contact with the store again after a fault
    */
   public static FollowBounds of(Duration change, Duration contact) {
     long bound = Math.min(change.toNanos(), contact.toNanos());
@@ -45,7 +45,10 @@
         contact.toNanos());
   }
 
-  /** Returns the age of the last confirmation at which a node asks the store itself. */
+  /**
+   * Returns the age of the last confirmation at which a node asks the store itself. It grows with
+   * the node's rank up to a limit.
+   */
   long takeOverNanos(WatchOrder order) {
     long confirm = confirmNanos(order);
     long staggered = confirm + (order.rank() + 1L) * staggerNanos;
--- a/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/following/FollowPlan.java
@@ -13,8 +13,8 @@
  * confirm that there is none, and the others ask their peers for the rows.
  *
  * <p>Invariants: a node asks the store itself once no node has confirmed for the trusted time that
- * the store answered, so that a fresh copy of the table depends on no peer. A node looks in the
- * store for an announced change that no peer can supply, and then not again for a while. A
+ * the store answered, so that no node depends on its peers to keep its copy current. A node looks
+ * in the store for an announced change that no peer can supply, and then not again for a while. A
  * confirmation counts only when it is newer than all before it, so that a node that repeats an old
  * one does not keep others from asking the store.
  *
@@ -247,7 +247,8 @@
   }
 
   /**
-   * Records that a watch missed a change that other nodes have seen: asks them before the store.
+   * Records that a watch missed a change that other nodes have seen, so that these are asked before
+   * the store.
    */
   public void onSilent() {
     askPeersFirst = true;
@@ -275,8 +276,8 @@
   }
 
   /**
-   * Records that a peer has the change, which is too large for the links between nodes: the node
-   * asks the store.
+   * Records that a peer has the change, which is too large for the links between nodes, so that
+   * this node asks the store.
    */
   public void onTooLarge() {
     tooLarge = true;
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/Route.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/Route.java
@@ -12,7 +12,8 @@
  * @param kind whether requests may run more than once
  * @param resumable whether another engine may continue a stream after the last event that was sent
  * @param timeout the longest time that a request may take in all
- * @param targetLatency the time within which the answer should be complete
+ * @param targetLatency the time from the arrival of a request within which its answer should begin,
+ *     or be complete when an application back end answers
  * @param eventGapTarget the longest pause between two events of a stream that is still in time;
  *     zero when the route does not stream
  * @param beginPatience how long a caller waits for the beginning of its answer before it gives up;
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/ServingEngine.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/ServingEngine.java
@@ -15,8 +15,8 @@
  * @param zone zone that it runs in
  * @param slots requests that it runs at once
  * @param leaving whether it is shutting down and takes no new requests
- * @param leavesIn time from marking the entry as leaving until the engine ends; empty when the
- *     entry does not say
+ * @param leavesIn time from the writing of the entry until the engine ends; empty when the entry
+ *     announces no end
  * @param reclaimable whether it is on loan (a spot instance): cheaper, and may be taken away at
  *     short notice
  * @param stage the stage of requests that it currently runs
--- a/fallturn-core/src/main/java/org/fallturn/core/routing/TenantKeys.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/routing/TenantKeys.java
@@ -65,8 +65,8 @@
    *
    * @param route the route that the request matches
    * @param key the key that the request bears, if any
-   * @throws FallturnException UNAUTHENTICATED when the key is unknown or missing; the message does
-   *     not contain the key
+   * @throws FallturnException UNAUTHENTICATED when the key is unknown, or missing on a route that
+   *     needs one; the message does not contain the key
    */
   public Caller authenticate(Route route, Optional<String> key) throws FallturnException {
     if (!configured) {
--- a/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
+++ b/fallturn-core/src/test/java/org/fallturn/core/following/FollowPlanTest.java
@@ -205,7 +205,7 @@
     assertThat(calls).isEqualTo(BOUNDS.watchers());
   }
 
-  /** Each node once called a store that was down for eight seconds ten times for each table. */
+  /** While a store was down for eight seconds, each node once called it ten times per table. */
   @ParameterizedTest
   @ValueSource(ints = {71, 112})
   void storeThatIsDownIsCalledSeldom(int nodes) {
