--- a/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
+++ b/fallturn-core/src/main/java/org/fallturn/core/peers/RelayOverlay.java
@@ -115,7 +115,12 @@
   private volatile WatchOrder watchOrder;
   private volatile List<NetworkAddress> askable = List.of();
 
-  /** Creates the overlay of a node that knows only its seeds, the nodes to contact first. */
+  /**
+   * Creates the overlay of a node that knows only its seeds, the nodes to contact first.
+   *
+   * @param incarnation number that rises with each start of the node's process
+   * @param loads receives the load of other nodes at the engines
+   */
   public RelayOverlay(
       PeerInfo self,
       String node,
